--- a/src/bench/limit_fleet/pooled.rs
+++ b/src/bench/limit_fleet/pooled.rs
@@ -6,10 +6,10 @@
 use crate::{
     clock,
     decisions::rate_limits::{
-        grant_stock::{Denial, GrantStock},
         rate_limit::{LimitTolerance, RateLimit},
         share_clock::{self, ShareClock, ShareTime},
-        token_pools::{Grant, PoolBoard, PoolDeposit},
+        token_cache::{Denial, TokenCache},
+        token_pools::{Grant, PoolDeposit, PoolTable},
     },
     ids,
 };
@@ -24,7 +24,7 @@
 struct GatewayState {
     run: ids::RunNumber,
     shares: ShareClock,
-    stock: GrantStock,
+    stock: TokenCache,
 }
 
 /// A fleet that keeps its limits by pooled shares.
@@ -34,7 +34,7 @@
     workspaces: Vec<ids::WorkspaceId>,
     names: Vec<ids::InstanceId>,
     gateways: Vec<GatewayState>,
-    boards: Vec<PoolBoard>,
+    boards: Vec<PoolTable>,
     messages: usize,
     bytes: usize,
     rng: rngs::SmallRng,
@@ -53,10 +53,10 @@
     /// A fleet that begins.
     pub fn new(plan: &LimitPlan, tolerance: &LimitTolerance) -> Self {
         let names: Vec<ids::InstanceId> = (0..plan.dispatchers).map(|n| name("d", n)).collect();
-        let begun = clock::Moment(0);
+        let begun = clock::MonotonicTime(0);
         let boards = names
             .iter()
-            .map(|id| PoolBoard::new(id.clone(), *tolerance, begun));
+            .map(|id| PoolTable::new(id.clone(), *tolerance, begun));
         Self {
             limits: limits_of(plan),
             tolerance: *tolerance,
@@ -78,21 +78,21 @@
     }
 
     /// Names of the keepers among live dispatchers.
-    fn keepers_among(&self, live: &[usize]) -> Vec<ids::InstanceId> {
-        share_clock::keepers_among(live.iter().map(|k| self.names[*k].clone()))
+    fn quota_servers_among(&self, live: &[usize]) -> Vec<ids::InstanceId> {
+        share_clock::quota_servers_among(live.iter().map(|k| self.names[*k].clone()))
     }
 
-    fn number_of(&self, keeper: &ids::InstanceId) -> usize {
-        let found = self.names.iter().position(|n| n == keeper);
+    fn number_of(&self, quota_server: &ids::InstanceId) -> usize {
+        let found = self.names.iter().position(|n| n == quota_server);
         found.expect("it is one of the keepers")
     }
 
-    fn follow_keepers(&mut self, world: &world::FleetWorld, keeper: usize) {
-        let keepers = self.keepers_among(&world.seen_by_keeper(keeper));
+    fn follow_keepers(&mut self, world: &world::FleetWorld, quota_server: usize) {
+        let quota_servers = self.quota_servers_among(&world.seen_by_keeper(quota_server));
         let limits = &self.limits;
         let workspaces = &self.workspaces;
-        self.boards[keeper].set_keepers(
-            &keepers,
+        self.boards[quota_server].set_quota_servers(
+            &quota_servers,
             |id| {
                 let number = workspaces.iter().position(|w| w == id)?;
                 Some(limits[number])
@@ -103,21 +103,23 @@
 
     fn deposit(&mut self, world: &world::FleetWorld, gateway: usize) {
         let now = world.now();
-        let keepers = self.keepers_among(&world.seen_by_gateway(gateway));
-        self.gateways[gateway].shares.set_keepers(&keepers, now);
+        let quota_servers = self.quota_servers_among(&world.seen_by_gateway(gateway));
+        self.gateways[gateway]
+            .shares
+            .set_quota_servers(&quota_servers, now);
         if !world.probes(gateway, STEP) {
             return;
         }
-        for keeper in keepers {
+        for quota_server in quota_servers {
             let Some(due) = self.gateways[gateway]
                 .shares
-                .take(&keeper, now, &mut self.rng)
+                .take(&quota_server, now, &mut self.rng)
             else {
                 continue;
             };
             self.messages += 1;
             self.bytes += DEPOSIT_BYTES;
-            let number = self.number_of(&keeper);
+            let number = self.number_of(&quota_server);
             if !world.reaches(gateway, number) {
                 continue;
             }
@@ -140,13 +142,13 @@
         workspace: usize,
     ) -> Option<Denial> {
         let id = &self.workspaces[workspace];
-        let keepers = self.keepers_among(&world.seen_by_gateway(gateway));
+        let quota_servers = self.quota_servers_among(&world.seen_by_gateway(gateway));
         let mut denial = Denial::Silent;
-        let mut order = share_clock::keepers_of(id, &keepers);
+        let mut order = share_clock::quota_servers_of(id, &quota_servers);
         order.shuffle(&mut self.rng);
-        order.sort_by_key(|keeper| !world.hears(gateway, self.number_of(keeper)));
-        for keeper in order {
-            let number = self.number_of(&keeper);
+        order.sort_by_key(|quota_server| !world.hears(gateway, self.number_of(quota_server)));
+        for quota_server in order {
+            let number = self.number_of(&quota_server);
             self.messages += 1;
             self.bytes += ASK_BYTES;
             if !world.reaches(gateway, number) {
@@ -168,12 +170,12 @@
 
 impl LimitWay for PooledShares {
     fn step(&mut self, world: &world::FleetWorld) {
-        for keeper in 0..self.boards.len() {
-            if world.keeper_begins(keeper, STEP) {
-                let id = self.names[keeper].clone();
-                self.boards[keeper] = PoolBoard::new(id, self.tolerance, world.now());
+        for quota_server in 0..self.boards.len() {
+            if world.keeper_begins(quota_server, STEP) {
+                let id = self.names[quota_server].clone();
+                self.boards[quota_server] = PoolTable::new(id, self.tolerance, world.now());
             }
-            self.follow_keepers(world, keeper);
+            self.follow_keepers(world, quota_server);
         }
         for gateway in 0..self.gateways.len() {
             if world.gateway_begins(gateway, STEP) {
--- a/src/bench/limit_fleet/referee.rs
+++ b/src/bench/limit_fleet/referee.rs
@@ -16,7 +16,7 @@
     owed: usize,
     served: usize,
     /// Moments of those served in the latest window.
-    window: collections::VecDeque<clock::Moment>,
+    window: collections::VecDeque<clock::MonotonicTime>,
     most: usize,
     bound: f64,
 }
@@ -32,7 +32,7 @@
         let counts = limits.iter().map(|limit| {
             let (rate, burst) = (limit.rate.per_second(), limit.burst.max(1.0));
             WorkspaceCount {
-                bucket: call_budget::TokenBucket::new(rate, burst, clock::Moment(0)),
+                bucket: call_budget::TokenBucket::new(rate, burst, clock::MonotonicTime(0)),
                 owed: 0,
                 served: 0,
                 window: collections::VecDeque::new(),
@@ -47,7 +47,7 @@
     }
 
     /// Whether a request is inside the limit.
-    pub(super) fn asks(&mut self, workspace: usize, now: clock::Moment) -> bool {
+    pub(super) fn asks(&mut self, workspace: usize, now: clock::MonotonicTime) -> bool {
         let count = &mut self.counts[workspace];
         let is_owed = count.bucket.take(now).is_ok();
         count.owed += usize::from(is_owed);
@@ -55,12 +55,12 @@
     }
 
     /// Counts a request that is served.
-    pub(super) fn served(&mut self, workspace: usize, now: clock::Moment) {
+    pub(super) fn served(&mut self, workspace: usize, now: clock::MonotonicTime) {
         let window = self.tolerance.window;
         let count = &mut self.counts[workspace];
         count.served += 1;
         count.window.push_back(now);
-        let is_old = |at: &clock::Moment| now.since(*at) >= window;
+        let is_old = |at: &clock::MonotonicTime| now.since(*at) >= window;
         while count.window.front().is_some_and(is_old) {
             count.window.pop_front();
         }
--- a/src/bench/limit_fleet/world.rs
+++ b/src/bench/limit_fleet/world.rs
@@ -8,7 +8,7 @@
 use crate::clock;
 
 /// Pause between two probes of a keeper.
-const PROBE_PAUSE: time::Duration = time::Duration::from_millis(250);
+const PROBE_INTERVAL: time::Duration = time::Duration::from_millis(250);
 /// Silence after which a keeper counts as lost.
 const SILENCE: time::Duration = time::Duration::from_millis(1500);
 /// Silence after which a keeper is asked last.
@@ -39,7 +39,7 @@
 pub struct FleetWorld {
     at: time::Duration,
     gateways: usize,
-    keepers: usize,
+    quota_servers: usize,
     faults: Vec<ProcessFault>,
     /// Time of the last answered probe, by process and keeper.
     heard: Vec<Vec<Option<time::Duration>>>,
@@ -50,12 +50,12 @@
 impl FleetWorld {
     pub(super) fn new(plan: &LimitPlan, rng: &mut rngs::SmallRng) -> Self {
         let processes = plan.gateways + plan.dispatchers;
-        let draw_phase = |_| PROBE_PAUSE.mul_f64(rng.random());
+        let draw_phase = |_| PROBE_INTERVAL.mul_f64(rng.random());
         let phases: Vec<_> = (0..processes).map(draw_phase).collect();
         Self {
             at: time::Duration::ZERO,
             gateways: plan.gateways,
-            keepers: plan.dispatchers,
+            quota_servers: plan.dispatchers,
             faults: draw_faults(plan, rng),
             heard: vec![vec![None; plan.dispatchers]; processes],
             phases,
@@ -63,20 +63,20 @@
     }
 
     /// The time now, by the clock of all processes.
-    pub fn now(&self) -> clock::Moment {
-        clock::Moment(self.at.as_micros() as u64)
+    pub fn now(&self) -> clock::MonotonicTime {
+        clock::MonotonicTime(self.at.as_micros() as u64)
     }
 
     /// Lets time pass, and processes probe the keepers.
     pub(super) fn advance(&mut self, at: time::Duration) {
         let before = std::mem::replace(&mut self.at, at);
-        for process in 0..self.gateways + self.keepers {
+        for process in 0..self.gateways + self.quota_servers {
             if !self.is_probing(process, before) {
                 continue;
             }
-            for keeper in 0..self.keepers {
-                if self.reaches(process, keeper) {
-                    self.heard[process][keeper] = Some(at);
+            for quota_server in 0..self.quota_servers {
+                if self.reaches(process, quota_server) {
+                    self.heard[process][quota_server] = Some(at);
                 }
             }
         }
@@ -88,8 +88,9 @@
     }
 
     fn is_probing(&self, process: usize, before: time::Duration) -> bool {
-        let turn =
-            |at: time::Duration| (at + self.phases[process]).as_micros() / PROBE_PAUSE.as_micros();
+        let turn = |at: time::Duration| {
+            (at + self.phases[process]).as_micros() / PROBE_INTERVAL.as_micros()
+        };
         self.is_up(process) && turn(before) != turn(self.at)
     }
 
@@ -108,10 +109,10 @@
     }
 
     /// Whether a keeper answers a process.
-    pub fn reaches(&self, process: usize, keeper: usize) -> bool {
-        let keeper = self.gateways + keeper;
-        let sides = [process, keeper].map(|p| self.has(p, &[FaultKind::Cut]));
-        self.is_up(process) && self.is_up(keeper) && sides[0] == sides[1]
+    pub fn reaches(&self, process: usize, quota_server: usize) -> bool {
+        let quota_server = self.gateways + quota_server;
+        let sides = [process, quota_server].map(|p| self.has(p, &[FaultKind::Cut]));
+        self.is_up(process) && self.is_up(quota_server) && sides[0] == sides[1]
     }
 
     /// The keepers that a gateway knows to be alive.
@@ -120,18 +121,18 @@
     }
 
     /// The keepers that a keeper knows to be alive, itself among them.
-    pub fn seen_by_keeper(&self, keeper: usize) -> Vec<usize> {
-        let mut seen = self.seen(self.gateways + keeper);
-        if !seen.contains(&keeper) {
-            seen.push(keeper);
+    pub fn seen_by_keeper(&self, quota_server: usize) -> Vec<usize> {
+        let mut seen = self.seen(self.gateways + quota_server);
+        if !seen.contains(&quota_server) {
+            seen.push(quota_server);
             seen.sort_unstable();
         }
         seen
     }
 
     /// Whether a keeper answered a probe of a gateway within [`ASK_SILENCE`].
-    pub fn hears(&self, gateway: usize, keeper: usize) -> bool {
-        let heard = self.heard[gateway][keeper];
+    pub fn hears(&self, gateway: usize, quota_server: usize) -> bool {
+        let heard = self.heard[gateway][quota_server];
         heard.is_some_and(|at| self.at - at < ASK_SILENCE)
     }
 
@@ -150,8 +151,8 @@
     }
 
     /// Whether a keeper begins anew in the step that began so long ago.
-    pub fn keeper_begins(&self, keeper: usize, step: time::Duration) -> bool {
-        self.begins(self.gateways + keeper, step)
+    pub fn keeper_begins(&self, quota_server: usize, step: time::Duration) -> bool {
+        self.begins(self.gateways + quota_server, step)
     }
 
     fn begins(&self, process: usize, step: time::Duration) -> bool {
@@ -193,8 +194,8 @@
                 .collect()
         }
         LimitScenario::Killed => {
-            let keepers = plan.gateways..processes;
-            keepers
+            let quota_servers = plan.gateways..processes;
+            quota_servers
                 .map(|p| fault(p, FaultKind::Down, span(12_000, 1_000)))
                 .collect()
         }
--- a/src/bench/placement.rs
+++ b/src/bench/placement.rs
@@ -8,7 +8,7 @@
 use rand::{rngs, Rng as _, SeedableRng as _};
 
 use super::{report, BenchResult};
-use crate::decisions::item_order::{ItemOutlook, OrderPolicy, SpanEstimate};
+use crate::decisions::item_order::{DurationEstimate, ItemTiming, OrderPolicy};
 
 /// Flags of `jayhollow-bench placement`.
 #[derive(Debug, Clone, clap::Args)]
@@ -118,7 +118,7 @@
 }
 
 fn play(flags: &PlacementFlags, policy: OrderPolicy, mut items: Vec<TraceItem>) -> TraceEnd {
-    let mut estimate = SpanEstimate::default();
+    let mut estimate = DurationEstimate::default();
     let mut end = TraceEnd::default();
     for now_ms in (0..END_MS).step_by(STEP_MS as usize) {
         finish_items(&mut items, now_ms, &mut estimate);
@@ -136,7 +136,7 @@
     end
 }
 
-fn finish_items(items: &mut [TraceItem], now_ms: u64, estimate: &mut SpanEstimate) {
+fn finish_items(items: &mut [TraceItem], now_ms: u64, estimate: &mut DurationEstimate) {
     for item in items.iter_mut() {
         let Some(started) = item.started_ms else {
             continue;
@@ -170,7 +170,7 @@
     items: &mut [TraceItem],
     free: usize,
     now_ms: u64,
-    estimate: &SpanEstimate,
+    estimate: &DurationEstimate,
 ) {
     let running = items.iter().filter(|i| i.started_ms.is_some()).count();
     let mut waiting: Vec<usize> = (0..items.len())
@@ -178,7 +178,7 @@
         .filter(|i| items[*i].started_ms.is_none() && items[*i].done_ms.is_none())
         .collect();
     waiting.sort_by_key(|i| {
-        let outlook = ItemOutlook {
+        let outlook = ItemTiming {
             due_ms: items[*i].arrived_ms + flags.due_ms,
             remaining_ms: estimate.remaining_ms(items[*i].spent_ms),
         };
--- a/src/bench/slopes.rs
+++ b/src/bench/slopes.rs
@@ -191,7 +191,7 @@
 
 fn limit_time(count: usize) -> f64 {
     let names: Vec<ids::WorkspaceId> = (0..count).map(|n| name(&format!("w-{n}"))).collect();
-    let mut board = workspace_limit::LimitBoard::default();
+    let mut board = workspace_limit::LimitTracker::default();
     let share = workspace_limit::WorkspaceShare {
         concurrency: 10,
         rate: 1e9,
@@ -200,7 +200,7 @@
     time_of(|| {
         at += 1;
         let workspace = &names[at % names.len()];
-        let admitted = board.begin(workspace, share, clock::Moment(at as u64));
+        let admitted = board.begin(workspace, share, clock::MonotonicTime(at as u64));
         if hint::black_box(admitted).is_ok() {
             board.end(workspace);
         }
@@ -242,15 +242,15 @@
 fn pool_time(count: usize) -> f64 {
     let own: ids::InstanceId = name("d-0");
     let tolerance = rate_limit::LimitTolerance::default();
-    let mut board = token_pools::PoolBoard::new(own.clone(), tolerance, clock::Moment(0));
-    board.set_keepers(&[own], |_| None, clock::Moment(0));
+    let mut board = token_pools::PoolTable::new(own.clone(), tolerance, clock::MonotonicTime(0));
+    board.set_quota_servers(&[own], |_| None, clock::MonotonicTime(0));
     let specs = specs(count);
     let mut at = 0;
     time_of(|| {
         at += 1;
         let spec = &specs[at % count];
         if let Some(limit) = &spec.limit {
-            let now = clock::Moment(at as u64);
+            let now = clock::MonotonicTime(at as u64);
             hint::black_box(board.grant(&spec.id, limit, 1, now));
         }
     })
@@ -273,7 +273,7 @@
     let text = document(workspaces);
     time_of(|| {
         if let Ok(document) = serde_json::from_str(&text) {
-            hint::black_box(bundle::BundleView::new(
+            hint::black_box(bundle::IndexedBundle::new(
                 bundle::BundleGeneration(1),
                 document,
             ));
--- a/src/bench/soak/admission_world.rs
+++ b/src/bench/soak/admission_world.rs
@@ -13,10 +13,10 @@
 /// One endpoint's ledger against a plain account of what it granted.
 pub struct AdmissionWorld {
     tally: WorldTally,
-    now: clock::Moment,
+    now: clock::MonotonicTime,
     ledger: admission::EndpointLedger,
     /// Permits that were granted and not released, and when they expire.
-    permits: collections::BTreeMap<u64, clock::Moment>,
+    permits: collections::BTreeMap<u64, clock::MonotonicTime>,
     /// Those of them whose release was not lost.
     releasable: collections::VecDeque<u64>,
     released: u64,
@@ -48,7 +48,7 @@
         };
         Self {
             tally: WorldTally::default(),
-            now: clock::Moment(1),
+            now: clock::MonotonicTime(1),
             ledger: admission::EndpointLedger::new(spec),
             permits: collections::BTreeMap::new(),
             releasable: collections::VecDeque::new(),
--- a/src/bench/soak/bundle_world.rs
+++ b/src/bench/soak/bundle_world.rs
@@ -54,7 +54,7 @@
             }
             5..9 => {
                 let generation = draft.unwrap_or(bundle::BundleGeneration(1));
-                self.head.sign_off(generation, &name)
+                self.head.approve(generation, &name)
             }
             _ => {
                 let generation = draft.unwrap_or(bundle::BundleGeneration(1));
--- a/src/bench/soak/chunk_world.rs
+++ b/src/bench/soak/chunk_world.rs
@@ -64,7 +64,7 @@
 pub struct ChunkWorld {
     without: Option<Protection>,
     tally: WorldTally,
-    now: clock::Moment,
+    now: clock::MonotonicTime,
     job: sync::Arc<job::JobManifest>,
     jobs: u64,
     claims: u64,
@@ -82,7 +82,7 @@
         let mut world = Self {
             without,
             tally: WorldTally::default(),
-            now: clock::Moment(1),
+            now: clock::MonotonicTime(1),
             job: sync::Arc::new(new_job(0)),
             jobs: 0,
             claims: 0,
--- a/src/bundle.rs
+++ b/src/bundle.rs
@@ -219,7 +219,7 @@
 
 /// A bundle as daemons use it, with its look-ups made.
 #[derive(Debug, Clone, Default)]
-pub struct BundleView {
+pub struct IndexedBundle {
     /// Generation of the document.
     pub generation: BundleGeneration,
     /// The document.
@@ -227,7 +227,7 @@
     by_key: collections::HashMap<String, usize>,
 }
 
-impl BundleView {
+impl IndexedBundle {
     /// Prepares a document for use.
     pub fn new(generation: BundleGeneration, document: BundleDocument) -> Self {
         let by_key = document
--- a/src/cli/bundle_commands.rs
+++ b/src/cli/bundle_commands.rs
@@ -2,7 +2,7 @@
 
 use std::{fs, path};
 
-use super::{client, output, CommandError, CommandResult, GatewayReach};
+use super::{client, output, CommandError, CommandResult, GatewayProfile};
 use crate::bundle;
 
 /// What can be done with bundles.
@@ -44,7 +44,7 @@
 ///
 /// # Errors
 /// The bundle has faults, or the gateway cannot be reached or refuses.
-pub async fn run(reach: &GatewayReach, command: &BundleCommand) -> CommandResult<()> {
+pub async fn run(reach: &GatewayProfile, command: &BundleCommand) -> CommandResult<()> {
     let client = client::ApiClient::new(reach);
     match command {
         BundleCommand::Check { file } => check(reach, file),
@@ -108,7 +108,7 @@
     fs::read(file).map_err(|e| CommandError::failed(format!("{}: {e}", file.display())))
 }
 
-fn check(reach: &GatewayReach, file: &path::Path) -> CommandResult<()> {
+fn check(reach: &GatewayProfile, file: &path::Path) -> CommandResult<()> {
     let text = read(file)?;
     let mut deserializer = serde_json::Deserializer::from_slice(&text);
     let document: bundle::BundleDocument = serde_path_to_error::deserialize(&mut deserializer)
--- a/src/cli/client.rs
+++ b/src/cli/client.rs
@@ -4,7 +4,7 @@
 
 use actix_http::{Method, StatusCode};
 
-use super::{CommandError, CommandResult, ExitReason, GatewayReach};
+use super::{CommandError, CommandResult, ExitReason, GatewayProfile};
 use crate::{error, gateway::operators, http_client};
 
 /// Longest wait for an answer.
@@ -36,7 +36,7 @@
 
 impl ApiClient {
     /// A client for the thread that it is made on.
-    pub fn new(reach: &GatewayReach) -> Self {
+    pub fn new(reach: &GatewayProfile) -> Self {
         Self {
             client: http_client::new_client(0),
             url: reach.url.trim_end_matches('/').to_owned(),
--- a/src/cli/instance_commands.rs
+++ b/src/cli/instance_commands.rs
@@ -1,6 +1,6 @@
 //! `jayhollow instance`.
 
-use super::{client, output, CommandResult, GatewayReach};
+use super::{client, output, CommandResult, GatewayProfile};
 
 /// What can be done with instances.
 #[derive(Debug, clap::Subcommand)]
@@ -18,7 +18,7 @@
 ///
 /// # Errors
 /// The gateway cannot be reached or refuses.
-pub async fn run(reach: &GatewayReach, command: &InstanceCommand) -> CommandResult<()> {
+pub async fn run(reach: &GatewayProfile, command: &InstanceCommand) -> CommandResult<()> {
     let client = client::ApiClient::new(reach);
     match command {
         InstanceCommand::List => {
--- a/src/cli/job_commands.rs
+++ b/src/cli/job_commands.rs
@@ -2,7 +2,7 @@
 
 use std::{fs, io, io::IsTerminal as _, io::Write as _, path, time};
 
-use super::{client, output, CommandError, CommandResult, GatewayReach};
+use super::{client, output, CommandError, CommandResult, GatewayProfile};
 use crate::ids;
 
 /// Pause between looks at a job that is waited for.
@@ -72,7 +72,7 @@
 ///
 /// # Errors
 /// A file cannot be read or written, or the gateway cannot be reached or refuses.
-pub async fn run(reach: &GatewayReach, command: &JobCommand) -> CommandResult<()> {
+pub async fn run(reach: &GatewayProfile, command: &JobCommand) -> CommandResult<()> {
     let client = client::ApiClient::new(reach);
     let show = |job: &serde_json::Value| {
         output::print(reach.output, job, std::slice::from_ref(job), &JOB_FIELDS);
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -20,7 +20,7 @@
 pub struct CommandLine {
     /// How to reach a gateway, and how to print.
     #[command(flatten)]
-    pub reach: ReachFlags,
+    pub reach: ProfileFlags,
     /// What to do.
     #[command(subcommand)]
     pub command: Option<TopCommand>,
@@ -28,7 +28,7 @@
 
 /// How a gateway is reached, and how answers are printed.
 #[derive(Debug, clap::Args)]
-pub struct ReachFlags {
+pub struct ProfileFlags {
     /// Settings file of the command line, in JSON.
     #[arg(long, global = true, value_name = "FILE", env = "JAYHOLLOW_CONFIG")]
     pub config: Option<path::PathBuf>,
@@ -57,7 +57,7 @@
 /// Name of an operator if none is set.
 const DEFAULT_OPERATOR: &str = "operator";
 
-impl ReachFlags {
+impl ProfileFlags {
     fn settings(&self) -> CommandResult<settings::client::ClientSettings> {
         match &self.config {
             None => Ok(settings::client::ClientSettings::default()),
@@ -66,7 +66,7 @@
     }
 
     /// The reach that flags, environment, settings and defaults make together.
-    fn resolve(&self) -> CommandResult<GatewayReach> {
+    fn resolve(&self) -> CommandResult<GatewayProfile> {
         let settings = self.settings()?;
         let read = |file: &path::PathBuf| {
             let text = std::fs::read_to_string(file);
@@ -76,7 +76,7 @@
         let key = self.key.clone().or(kept).unwrap_or_default();
         let url = self.url.clone().or(settings.url);
         let operator = self.operator.clone().or(settings.operator);
-        Ok(GatewayReach {
+        Ok(GatewayProfile {
             url: url.unwrap_or_else(|| DEFAULT_URL.into()),
             key: key.trim().to_owned(),
             operator: operator.unwrap_or_else(|| DEFAULT_OPERATOR.into()),
@@ -87,7 +87,7 @@
 
 /// How a gateway is reached, and how answers are printed.
 #[derive(Debug, Clone)]
-pub struct GatewayReach {
+pub struct GatewayProfile {
     /// Address of a gateway.
     pub url: String,
     /// Key.
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -4,9 +4,9 @@
 
 /// A point in monotonic time, in microseconds since an origin of the process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
-pub struct Moment(pub u64);
+pub struct MonotonicTime(pub u64);
 
-impl Moment {
+impl MonotonicTime {
     /// Time since an earlier moment; zero if that one is later.
     pub fn since(self, earlier: Self) -> time::Duration {
         time::Duration::from_micros(self.0.saturating_sub(earlier.0))
@@ -18,7 +18,7 @@
     }
 }
 
-impl ops::Add<time::Duration> for Moment {
+impl ops::Add<time::Duration> for MonotonicTime {
     type Output = Self;
 
     fn add(self, span: time::Duration) -> Self {
@@ -26,7 +26,7 @@
     }
 }
 
-impl fmt::Display for Moment {
+impl fmt::Display for MonotonicTime {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}us", self.0)
     }
@@ -35,7 +35,7 @@
 /// Where the shells take the time from.
 pub trait MonotonicClock: Send + Sync {
     /// The time now.
-    fn now(&self) -> Moment;
+    fn now(&self) -> MonotonicTime;
 }
 
 /// A point in time by a clock that counts on while the machine is suspended.
@@ -124,9 +124,9 @@
 }
 
 impl MonotonicClock for SystemClock {
-    fn now(&self) -> Moment {
+    fn now(&self) -> MonotonicTime {
         let since = PAST + self.origin.elapsed();
-        Moment(since.as_micros() as u64)
+        MonotonicTime(since.as_micros() as u64)
     }
 }
 
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -64,7 +64,7 @@
     }
 
     /// Waits for a signal, or until an operator asked this instance to stop.
-    pub fn wait(&self, fleet: Option<&fleet::FleetView>) {
+    pub fn wait(&self, fleet: Option<&fleet::FleetHandle>) {
         loop {
             if self.received.recv_timeout(STOP_POLL).is_ok() {
                 return;
--- a/src/daemon_parts.rs
+++ b/src/daemon_parts.rs
@@ -67,7 +67,7 @@
         pace: &settings::common::PaceSettings,
         role: fleet::InstanceRole,
         link: net::SocketAddr,
-    ) -> io::Result<fleet::FleetView> {
+    ) -> io::Result<fleet::FleetHandle> {
         let options = fleet::FleetOptions {
             id: instance.id.clone(),
             domain: instance.domain.clone(),
--- a/src/decisions/admission.rs
+++ b/src/decisions/admission.rs
@@ -80,7 +80,7 @@
 
 #[derive(Debug, Clone, Copy)]
 struct BatchStream {
-    started: clock::Moment,
+    started: clock::MonotonicTime,
     tokens: u32,
 }
 
@@ -91,11 +91,11 @@
 #[derive(Debug, Clone)]
 pub struct EndpointLedger {
     spec: AdmissionSpec,
-    permits: collections::HashMap<PermitNumber, clock::Moment>,
+    permits: collections::HashMap<PermitNumber, clock::MonotonicTime>,
     streams: collections::BTreeMap<StreamNumber, BatchStream>,
     next_stream: StreamNumber,
     model: step_model::StepModel,
-    started_at: Option<clock::Moment>,
+    started_at: Option<clock::MonotonicTime>,
     leaving: bool,
 }
 
@@ -158,7 +158,7 @@
     pub fn request_permit(
         &mut self,
         number: PermitNumber,
-        now: clock::Moment,
+        now: clock::MonotonicTime,
     ) -> Option<PermitGrant> {
         self.expire(now);
         if self.online() >= self.spec.max_online {
@@ -182,7 +182,7 @@
         self.permits.remove(&number);
     }
 
-    fn expire(&mut self, now: clock::Moment) {
+    fn expire(&mut self, now: clock::MonotonicTime) {
         self.permits.retain(|_, expiry| *expiry > now);
     }
 
@@ -232,7 +232,7 @@
     }
 
     /// Batch streams that may start now, keeping room for the next burst.
-    pub fn batch_room(&mut self, now: clock::Moment) -> u32 {
+    pub fn batch_room(&mut self, now: clock::MonotonicTime) -> u32 {
         self.expire(now);
         if self.leaving {
             return 0;
@@ -258,8 +258,8 @@
     }
 
     /// Begins a batch stream.
-    pub fn begin_stream(&mut self, now: clock::Moment) -> StreamNumber {
-        invariant::hold("no_batch_start_on_leaving_endpoint", !self.leaving);
+    pub fn begin_stream(&mut self, now: clock::MonotonicTime) -> StreamNumber {
+        invariant::check("no_batch_start_on_leaving_endpoint", !self.leaving);
         self.next_stream += 1;
         self.started_at = Some(now);
         let stream = BatchStream {
--- a/src/decisions/authentication.rs
+++ b/src/decisions/authentication.rs
@@ -2,7 +2,7 @@
 
 /// How up to date the view of keys is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum KeyView {
+pub enum KeyFreshness {
     /// No newer desired state is known of, and the source is followed.
     Current,
     /// A newer desired state may be in force elsewhere.
@@ -34,12 +34,14 @@
 }
 
 /// Decides on a request. `is_public`: its route needs no key.
-pub fn judge<W>(found: KeyMatch<W>, is_public: bool, view: KeyView) -> KeyVerdict<W> {
+pub fn judge<W>(found: KeyMatch<W>, is_public: bool, view: KeyFreshness) -> KeyVerdict<W> {
     match (found, view) {
         (KeyMatch::Known(workspace), _) => KeyVerdict::Workspace(workspace),
         (KeyMatch::NoKey | KeyMatch::Unknown, _) if is_public => KeyVerdict::Anonymous,
-        (KeyMatch::NoKey, _) | (KeyMatch::Unknown, KeyView::Current) => KeyVerdict::Unauthorized,
+        (KeyMatch::NoKey, _) | (KeyMatch::Unknown, KeyFreshness::Current) => {
+            KeyVerdict::Unauthorized
+        }
         // Callers give up at 401, but try another gateway at 503.
-        (KeyMatch::Unknown, KeyView::Behind) => KeyVerdict::Undecided,
+        (KeyMatch::Unknown, KeyFreshness::Behind) => KeyVerdict::Undecided,
     }
 }
--- a/src/decisions/bundle_steps.rs
+++ b/src/decisions/bundle_steps.rs
@@ -116,7 +116,7 @@
     ///
     /// # Errors
     /// There is no draft of that generation.
-    pub fn sign_off(
+    pub fn approve(
         &self,
         generation: bundle::BundleGeneration,
         signer: &str,
--- a/src/decisions/call_budget.rs
+++ b/src/decisions/call_budget.rs
@@ -71,12 +71,12 @@
     rate: f64,
     burst: f64,
     tokens: f64,
-    filled_at: clock::Moment,
+    filled_at: clock::MonotonicTime,
 }
 
 impl TokenBucket {
     /// A full bucket.
-    pub fn new(rate: f64, burst: f64, now: clock::Moment) -> Self {
+    pub fn new(rate: f64, burst: f64, now: clock::MonotonicTime) -> Self {
         Self {
             rate,
             burst,
@@ -86,7 +86,7 @@
     }
 
     /// An empty bucket.
-    pub fn empty(rate: f64, burst: f64, now: clock::Moment) -> Self {
+    pub fn empty(rate: f64, burst: f64, now: clock::MonotonicTime) -> Self {
         Self {
             tokens: 0.0,
             ..Self::new(rate, burst, now)
@@ -94,7 +94,7 @@
     }
 
     /// Takes what there is of an amount.
-    pub fn take_up_to(&mut self, amount: f64, now: clock::Moment) -> f64 {
+    pub fn take_up_to(&mut self, amount: f64, now: clock::MonotonicTime) -> f64 {
         self.fill(now);
         let taken = amount.min(self.tokens);
         self.tokens -= taken;
@@ -102,14 +102,14 @@
     }
 
     /// Changes the rate and the size from now on.
-    pub fn set_rate(&mut self, rate: f64, burst: f64, now: clock::Moment) {
+    pub fn set_rate(&mut self, rate: f64, burst: f64, now: clock::MonotonicTime) {
         self.fill(now);
         self.rate = rate;
         self.burst = burst;
         self.tokens = self.tokens.min(burst);
     }
 
-    fn fill(&mut self, now: clock::Moment) {
+    fn fill(&mut self, now: clock::MonotonicTime) {
         let gained = now.since(self.filled_at).as_secs_f64() * self.rate;
         self.tokens = (self.tokens + gained).min(self.burst);
         self.filled_at = self.filled_at.max(now);
@@ -119,7 +119,7 @@
     ///
     /// # Errors
     /// No token is left.
-    pub fn take(&mut self, now: clock::Moment) -> Result<(), time::Duration> {
+    pub fn take(&mut self, now: clock::MonotonicTime) -> Result<(), time::Duration> {
         self.fill(now);
         if self.tokens >= 1.0 {
             self.tokens -= 1.0;
@@ -145,7 +145,7 @@
 
 impl<T> CallBudget<T> {
     /// An empty budget that holds at most `capacity` calls.
-    pub fn new(rate: CallRate, capacity: usize, now: clock::Moment) -> Self {
+    pub fn new(rate: CallRate, capacity: usize, now: clock::MonotonicTime) -> Self {
         // Half a second's worth at once: enough for a burst, too little for a herd.
         let burst = (rate.0 / 2.0).max(1.0);
         Self {
@@ -170,7 +170,7 @@
     }
 
     /// The next call that may go now; or how long to wait, if any call waits.
-    pub fn next(&mut self, now: clock::Moment) -> Result<T, Option<time::Duration>> {
+    pub fn next(&mut self, now: clock::MonotonicTime) -> Result<T, Option<time::Duration>> {
         if self.queued == 0 {
             return Err(None);
         }
--- a/src/decisions/chunk.rs
+++ b/src/decisions/chunk.rs
@@ -153,8 +153,8 @@
         if holder.is_none() {
             return Err(ClaimLost);
         }
-        invariant::hold("item_settled_once", !self.settled.overlaps(&commit.settled));
-        invariant::hold(
+        invariant::check("item_settled_once", !self.settled.overlaps(&commit.settled));
+        invariant::check(
             "item_intended_once",
             !self.intended.overlaps(&commit.intend),
         );
@@ -177,9 +177,9 @@
     fn check(&self) {
         let (completed, failed) = self.counts();
         let lines = completed + failed;
-        invariant::hold("segments_hold_settled_items", lines == self.settled.len());
+        invariant::check("segments_hold_settled_items", lines == self.settled.len());
         let below = self.settled.iter().all(|i| i < self.items);
-        invariant::hold("settled_items_exist", below);
+        invariant::check("settled_items_exist", below);
     }
 }
 
--- a/src/decisions/crash_ledger.rs
+++ b/src/decisions/crash_ledger.rs
@@ -120,7 +120,7 @@
     /// The endpoint.
     pub endpoint: ids::EndpointRun,
     /// When the request was sent there.
-    pub begun: clock::Moment,
+    pub begun: clock::MonotonicTime,
 }
 
 /// What came of noting a crash.
@@ -163,17 +163,17 @@
 #[derive(Debug, Clone)]
 struct CrashRecord {
     /// Crashes, and when this process learned of each.
-    crashes: collections::BTreeMap<CrashMark, clock::Moment>,
+    crashes: collections::BTreeMap<CrashMark, clock::MonotonicTime>,
     cleared: collections::BTreeSet<CrashMark>,
-    last: clock::Moment,
+    last: clock::MonotonicTime,
     /// End of the present trial, if there was one.
-    trial_until: Option<clock::Moment>,
+    trial_until: Option<clock::MonotonicTime>,
     /// Whether it is young enough to be told.
     is_told: bool,
 }
 
 impl CrashRecord {
-    fn new(now: clock::Moment) -> Self {
+    fn new(now: clock::MonotonicTime) -> Self {
         Self {
             crashes: collections::BTreeMap::new(),
             cleared: collections::BTreeSet::new(),
@@ -199,7 +199,7 @@
     }
 
     /// When it may be tried again; at the end of what is known of it after all trials.
-    fn held_until(&self) -> clock::Moment {
+    fn held_until(&self) -> clock::MonotonicTime {
         let trials = self.count() - MAX_CRASHES;
         if trials >= MAX_TRIALS {
             return self.last + HELD_KEPT;
@@ -209,7 +209,7 @@
         self.last + FIRST_HOLD * growth
     }
 
-    fn news(&self, digest: ids::RequestDigest, now: clock::Moment) -> CrashNews {
+    fn news(&self, digest: ids::RequestDigest, now: clock::MonotonicTime) -> CrashNews {
         CrashNews {
             digest,
             crashes: self.crashes.keys().cloned().collect(),
@@ -257,9 +257,9 @@
 pub struct CrashLedger {
     records: collections::HashMap<ids::RequestDigest, CrashRecord>,
     /// When requests were last served here.
-    served: lru::LruCache<ids::RequestDigest, clock::Moment>,
+    served: lru::LruCache<ids::RequestDigest, clock::MonotonicTime>,
     /// When endpoints were last seen to end, whatever ran there.
-    ends: lru::LruCache<ids::EndpointRun, clock::Moment>,
+    ends: lru::LruCache<ids::EndpointRun, clock::MonotonicTime>,
     number: u64,
 }
 
@@ -276,7 +276,7 @@
 
 impl CrashLedger {
     /// Notes that an endpoint ended under a request that this process had sent there.
-    pub fn note_crash(&mut self, run: &CrashedRun, now: clock::Moment) -> CrashOutcome {
+    pub fn note_crash(&mut self, run: &CrashedRun, now: clock::MonotonicTime) -> CrashOutcome {
         if self.was_gone(run, now) {
             return CrashOutcome::Gone;
         }
@@ -295,7 +295,7 @@
 
     /// Whether an endpoint was known to have ended when a request was sent there; notes
     /// that it ended.
-    fn was_gone(&mut self, run: &CrashedRun, now: clock::Moment) -> bool {
+    fn was_gone(&mut self, run: &CrashedRun, now: clock::MonotonicTime) -> bool {
         let ended_at = self.ends.get(&run.endpoint).copied();
         let is_new = ended_at.is_none_or(|at| run.begun > at + LEAST_AWAY);
         if is_new {
@@ -308,14 +308,14 @@
     ///
     /// A request that comes often is at work at most of the endpoints that crash
     /// together, say with the power of their rack, or one after the other under another.
-    fn is_excused(&mut self, run: &CrashedRun, now: clock::Moment) -> bool {
+    fn is_excused(&mut self, run: &CrashedRun, now: clock::MonotonicTime) -> bool {
         let served_at = self.served.get(&run.digest);
         served_at.is_some_and(|at| now.since(*at) < EXCUSED_FOR)
     }
 
     /// Notes that an endpoint ran a request to its end; says whether that clears it of
     /// crashes.
-    pub fn note_served(&mut self, digest: ids::RequestDigest, now: clock::Moment) -> bool {
+    pub fn note_served(&mut self, digest: ids::RequestDigest, now: clock::MonotonicTime) -> bool {
         self.served.put(digest, now);
         let is_blamed = self.records.get(&digest).is_some_and(|r| r.count() > 0);
         if is_blamed {
@@ -328,7 +328,7 @@
 
     /// Clears a request of what others blame it for, if this process saw it served lately;
     /// says whether it did.
-    pub fn vouch(&mut self, digest: ids::RequestDigest, now: clock::Moment) -> bool {
+    pub fn vouch(&mut self, digest: ids::RequestDigest, now: clock::MonotonicTime) -> bool {
         let served_at = self.served.peek(&digest);
         let is_sound = served_at.is_some_and(|at| now.since(*at) < EXCUSED_FOR);
         let is_blamed = self.records.get(&digest).is_some_and(|r| r.count() > 0);
@@ -341,7 +341,7 @@
     }
 
     /// Whether a request may be sent now; a trial counts as begun by it.
-    pub fn admit(&mut self, digest: ids::RequestDigest, now: clock::Moment) -> CrashVerdict {
+    pub fn admit(&mut self, digest: ids::RequestDigest, now: clock::MonotonicTime) -> CrashVerdict {
         let verdict = self.verdict(digest, now);
         if verdict == CrashVerdict::Trial {
             if let Some(record) = self.records.get_mut(&digest) {
@@ -352,7 +352,7 @@
     }
 
     /// Whether a request might be sent now.
-    pub fn verdict(&self, digest: ids::RequestDigest, now: clock::Moment) -> CrashVerdict {
+    pub fn verdict(&self, digest: ids::RequestDigest, now: clock::MonotonicTime) -> CrashVerdict {
         let held = self.records.get(&digest).filter(|record| record.is_held());
         let Some(record) = held else {
             return CrashVerdict::Free;
@@ -367,7 +367,11 @@
     }
 
     /// How long to wait before a request is judged: nothing, unless it was blamed just now.
-    pub fn settles_in(&self, digest: ids::RequestDigest, now: clock::Moment) -> time::Duration {
+    pub fn settles_in(
+        &self,
+        digest: ids::RequestDigest,
+        now: clock::MonotonicTime,
+    ) -> time::Duration {
         let held = self.records.get(&digest).filter(|record| record.is_held());
         let age = held.map_or(SETTLE_TIME, |record| now.since(record.last));
         SETTLE_TIME.saturating_sub(age)
@@ -385,20 +389,24 @@
     }
 
     /// What is known of a request, for others.
-    pub fn news_of(&self, digest: ids::RequestDigest, now: clock::Moment) -> Option<CrashNews> {
+    pub fn news_of(
+        &self,
+        digest: ids::RequestDigest,
+        now: clock::MonotonicTime,
+    ) -> Option<CrashNews> {
         let record = self.records.get(&digest)?;
         Some(record.news(digest, now))
     }
 
     /// All that is to be told.
-    pub fn copy(&self, now: clock::Moment) -> Vec<CrashNews> {
+    pub fn copy(&self, now: clock::MonotonicTime) -> Vec<CrashNews> {
         let told = self.records.iter().filter(|(_, record)| record.is_told);
         told.map(|(digest, record)| record.news(*digest, now))
             .collect()
     }
 
     /// Takes what another process knows; says whether that was new.
-    pub fn merge(&mut self, news: CrashNews, now: clock::Moment) -> bool {
+    pub fn merge(&mut self, news: CrashNews, now: clock::MonotonicTime) -> bool {
         let known = self.records.get(&news.digest);
         let is_old = news.age + UNTOLD >= kept_for(&news);
         if known.is_none() && (is_old || news.crashes.is_empty()) {
@@ -428,7 +436,7 @@
     }
 
     /// Forgets what is too old, and gives the requests among it that were held back.
-    pub fn expire(&mut self, now: clock::Moment) -> Vec<ids::RequestDigest> {
+    pub fn expire(&mut self, now: clock::MonotonicTime) -> Vec<ids::RequestDigest> {
         let mut number = 0_u64;
         let mut freed = Vec::new();
         self.records.retain(|digest, record| {
@@ -464,7 +472,7 @@
     fn change<T>(
         &mut self,
         digest: ids::RequestDigest,
-        now: clock::Moment,
+        now: clock::MonotonicTime,
         change: impl FnOnce(&mut CrashRecord) -> T,
     ) -> T {
         if !self.records.contains_key(&digest) {
--- a/src/decisions/backoff_marks.rs
+++ b/src/decisions/endpoint_backoff.rs
@@ -20,19 +20,19 @@
 
 #[derive(Debug, Clone, Copy)]
 struct BackoffMark {
-    until: clock::Moment,
+    until: clock::MonotonicTime,
     pause: time::Duration,
-    is_out: bool,
+    is_backed_off: bool,
 }
 
 /// Endpoints that are left out, or were lately.
 #[derive(Debug)]
-pub struct BackoffMarks {
+pub struct EndpointBackoff {
     range: BackoffRange,
     marks: collections::HashMap<ids::EndpointId, BackoffMark>,
 }
 
-impl BackoffMarks {
+impl EndpointBackoff {
     /// No endpoint is left out.
     pub fn new(range: BackoffRange) -> Self {
         Self {
@@ -44,9 +44,14 @@
     /// Leaves an endpoint out for a while; says whether it was in.
     ///
     /// A word that comes while it is out was sent before, and adds nothing.
-    pub fn note(&mut self, id: &ids::EndpointId, now: clock::Moment, rng: &mut impl Rng) -> bool {
+    pub fn note(
+        &mut self,
+        id: &ids::EndpointId,
+        now: clock::MonotonicTime,
+        rng: &mut impl Rng,
+    ) -> bool {
         let known = self.marks.get(id);
-        if known.is_some_and(|mark| mark.is_out) {
+        if known.is_some_and(|mark| mark.is_backed_off) {
             return false;
         }
         let BackoffRange {
@@ -59,7 +64,7 @@
         let mark = BackoffMark {
             until: now + pause.mul_f64(share),
             pause,
-            is_out: true,
+            is_backed_off: true,
         };
         self.marks.insert(id.clone(), mark);
         true
@@ -67,12 +72,12 @@
 
     /// Forgets what was noted of an endpoint; says whether it was left out.
     pub fn forget(&mut self, id: &ids::EndpointId) -> bool {
-        self.marks.remove(id).is_some_and(|mark| mark.is_out)
+        self.marks.remove(id).is_some_and(|mark| mark.is_backed_off)
     }
 
     /// Whether an endpoint is left out.
-    pub fn is_out(&self, id: &ids::EndpointId) -> bool {
-        self.marks.get(id).is_some_and(|mark| mark.is_out)
+    pub fn is_backed_off(&self, id: &ids::EndpointId) -> bool {
+        self.marks.get(id).is_some_and(|mark| mark.is_backed_off)
     }
 
     /// Whether an endpoint is left out, or was lately.
@@ -81,16 +86,16 @@
     }
 
     /// Lets endpoints be tried again whose time is over; says whether there were any.
-    pub fn expire(&mut self, now: clock::Moment) -> bool {
+    pub fn expire(&mut self, now: clock::MonotonicTime) -> bool {
         let mut is_due = false;
         for mark in self.marks.values_mut() {
-            let is_over = mark.is_out && mark.until <= now;
-            mark.is_out &= !is_over;
+            let is_over = mark.is_backed_off && mark.until <= now;
+            mark.is_backed_off &= !is_over;
             is_due |= is_over;
         }
         let last = self.range.last;
         self.marks
-            .retain(|_, mark| mark.is_out || now.since(mark.until) < last);
+            .retain(|_, mark| mark.is_backed_off || now.since(mark.until) < last);
         is_due
     }
 
--- a/src/decisions/health.rs
+++ b/src/decisions/health.rs
@@ -32,7 +32,7 @@
     /// Share of failures among the latest outcomes, 0 to 1.
     failing: f64,
     ejections: u32,
-    until: clock::Moment,
+    until: clock::MonotonicTime,
     /// The first few instances that reported failures since the last success.
     reporters: Vec<ids::InstanceId>,
 }
@@ -53,7 +53,7 @@
         }
     }
 
-    fn eject_if_failing(&mut self, now: clock::Moment) {
+    fn eject_if_failing(&mut self, now: clock::MonotonicTime) {
         if self.failing < EJECT_SHARE {
             return;
         }
@@ -76,11 +76,11 @@
 
 /// Health of endpoints as one instance sees it.
 #[derive(Debug, Clone, Default)]
-pub struct HealthBoard {
+pub struct HealthTracker {
     endpoints: collections::HashMap<ids::EndpointId, EndpointHealth>,
 }
 
-impl HealthBoard {
+impl HealthTracker {
     /// Notes an attempt that the endpoint answered.
     pub fn note_success(&mut self, id: &ids::EndpointId) {
         if let Some(health) = self.endpoints.get_mut(id) {
@@ -91,7 +91,7 @@
     }
 
     /// Notes an attempt that failed; ejects when too many do.
-    pub fn note_failure(&mut self, id: &ids::EndpointId, now: clock::Moment) {
+    pub fn note_failure(&mut self, id: &ids::EndpointId, now: clock::MonotonicTime) {
         let health = self.endpoints.entry(id.clone()).or_default();
         health.note_failure();
         health.eject_if_failing(now);
@@ -102,7 +102,7 @@
         &mut self,
         id: &ids::EndpointId,
         report: &FailureReport,
-        now: clock::Moment,
+        now: clock::MonotonicTime,
     ) {
         let health = self.endpoints.entry(id.clone()).or_default();
         health.note_reporter(&report.reporter);
@@ -116,19 +116,19 @@
     }
 
     /// Notes an endpoint that does not answer at all; ejects it at once.
-    pub fn note_silence(&mut self, id: &ids::EndpointId, now: clock::Moment) {
+    pub fn note_silence(&mut self, id: &ids::EndpointId, now: clock::MonotonicTime) {
         let health = self.endpoints.entry(id.clone()).or_default();
         health.note_silence();
         health.eject_if_failing(now);
     }
 
     /// Whether the endpoint is out now.
-    pub fn is_ejected(&self, id: &ids::EndpointId, now: clock::Moment) -> bool {
+    pub fn is_ejected(&self, id: &ids::EndpointId, now: clock::MonotonicTime) -> bool {
         self.endpoints.get(id).is_some_and(|h| h.until > now)
     }
 
     /// The endpoints that are out now.
-    pub fn ejected(&self, now: clock::Moment) -> impl Iterator<Item = &ids::EndpointId> {
+    pub fn ejected(&self, now: clock::MonotonicTime) -> impl Iterator<Item = &ids::EndpointId> {
         let out = self.endpoints.iter().filter(move |(_, h)| h.until > now);
         out.map(|(id, _)| id)
     }
@@ -137,7 +137,7 @@
     pub fn usable<'a>(
         &self,
         ids: &[&'a ids::EndpointId],
-        now: clock::Moment,
+        now: clock::MonotonicTime,
     ) -> Vec<&'a ids::EndpointId> {
         let out = |id: &&&ids::EndpointId| self.is_ejected(id, now);
         let ejected = ids.iter().filter(out).count();
--- a/src/decisions/item_order.rs
+++ b/src/decisions/item_order.rs
@@ -6,14 +6,14 @@
 
 /// What is known of an item when places are handed out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ItemOutlook {
+pub struct ItemTiming {
     /// When it is due, in milliseconds since the epoch.
     pub due_ms: u64,
     /// Time that its stream still needs in a place, in milliseconds, as far as known.
     pub remaining_ms: u64,
 }
 
-impl ItemOutlook {
+impl ItemTiming {
     /// Whether it cannot be in time even if it starts now.
     pub fn is_hopeless(&self, now_ms: u64) -> bool {
         now_ms + self.remaining_ms > self.due_ms
@@ -36,7 +36,7 @@
 
 impl OrderPolicy {
     /// The key of an item.
-    pub fn start_key(self, item: &ItemOutlook, now_ms: u64) -> StartKey {
+    pub fn start_key(self, item: &ItemTiming, now_ms: u64) -> StartKey {
         match self {
             Self::DueFirst => (false, item.due_ms, 0),
             Self::FeasibleFirst => (item.is_hopeless(now_ms), item.due_ms, item.remaining_ms),
@@ -47,7 +47,7 @@
 
 /// Learns how long streams of a kind hold a place in all, to tell what is left.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct SpanEstimate {
+pub struct DurationEstimate {
     mean_ms: f64,
 }
 
@@ -62,7 +62,7 @@
 /// 0.74 (`jayhollow-bench placement`).
 const HOPEFUL_PART: f64 = 0.5;
 
-impl SpanEstimate {
+impl DurationEstimate {
     /// Notes the time that an item held places from its begin to its end.
     pub fn note(&mut self, span_ms: u64) {
         let span = span_ms as f64;
--- a/src/decisions/job_plan.rs
+++ b/src/decisions/job_plan.rs
@@ -65,7 +65,7 @@
 #[derive(Debug, Clone)]
 pub struct JobPlan {
     status: Vec<ChunkStatus>,
-    looked_at: Option<clock::Moment>,
+    looked_at: Option<clock::MonotonicTime>,
     /// The last chunk in hand was done, and the job was not looked at since.
     finished_own: bool,
 }
@@ -92,7 +92,7 @@
         &mut self,
         states: &collections::BTreeMap<u32, chunk::ChunkState>,
         own: &ids::InstanceId,
-        now: clock::Moment,
+        now: clock::MonotonicTime,
     ) {
         self.looked_at = Some(now);
         self.finished_own = false;
@@ -108,7 +108,7 @@
     }
 
     /// Notes a look that told nothing.
-    pub fn note_look(&mut self, now: clock::Moment) {
+    pub fn note_look(&mut self, now: clock::MonotonicTime) {
         self.looked_at = Some(now);
         self.finished_own = false;
     }
@@ -124,7 +124,7 @@
     /// A look is a list of the object service. With thousands of jobs waiting
     /// most must not be looked at: only where that may end the job, or give
     /// work to a dispatcher that lacks it.
-    pub fn wants_look(&self, terms: LookTerms, now: clock::Moment) -> bool {
+    pub fn wants_look(&self, terms: LookTerms, now: clock::MonotonicTime) -> bool {
         let rested = |pause| self.looked_at.is_none_or(|at| now.since(at) >= pause);
         if terms.cancelling {
             return terms.first && rested(FIRST_LOOK_PAUSE);
--- a/src/decisions/lease.rs
+++ b/src/decisions/lease.rs
@@ -21,12 +21,12 @@
 pub struct LeaseObserver {
     lapse: time::Duration,
     leases: collections::BTreeMap<ids::InstanceId, ObservedLease>,
-    ticked_at: clock::Moment,
+    ticked_at: clock::MonotonicTime,
 }
 
 impl LeaseObserver {
     /// An observer that takes an instance for gone after `lapse` without renewal.
-    pub fn new(lapse: time::Duration, now: clock::Moment) -> Self {
+    pub fn new(lapse: time::Duration, now: clock::MonotonicTime) -> Self {
         Self {
             lapse,
             leases: collections::BTreeMap::new(),
@@ -54,7 +54,7 @@
     }
 
     /// Lets time pass; `readable` says whether the service could be read since the last tick.
-    pub fn tick(&mut self, now: clock::Moment, readable: bool) {
+    pub fn tick(&mut self, now: clock::MonotonicTime, readable: bool) {
         let passed = now.since(self.ticked_at);
         self.ticked_at = now;
         if !readable {
--- a/src/decisions/mod.rs
+++ b/src/decisions/mod.rs
@@ -5,11 +5,11 @@
 
 pub mod admission;
 pub mod authentication;
-pub mod backoff_marks;
 pub mod bundle_steps;
 pub mod call_budget;
 pub mod chunk;
 pub mod crash_ledger;
+pub mod endpoint_backoff;
 pub mod health;
 pub mod index_ranges;
 pub mod item_order;
--- a/src/decisions/owner_order.rs
+++ b/src/decisions/owner_order.rs
@@ -17,17 +17,17 @@
 
 /// An owner as a gateway knows it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct KnownOwner {
+pub struct OwnerCapacity {
     /// The instance.
     pub id: ids::InstanceId,
     /// Places that it said it can give.
     pub room: u32,
     /// Whether it is in the gateway's failure domain.
-    pub is_near: bool,
+    pub is_same_domain: bool,
 }
 
 /// The owners in the order in which they are asked; those without room last.
-pub fn draw_order(owners: Vec<KnownOwner>, rng: &mut impl Rng) -> Vec<ids::InstanceId> {
+pub fn draw_order(owners: Vec<OwnerCapacity>, rng: &mut impl Rng) -> Vec<ids::InstanceId> {
     let mut drawn: Vec<_> = owners
         .into_iter()
         .map(|owner| (draw_key(&owner, rng), owner.id))
@@ -38,12 +38,16 @@
 
 /// A key whose order is a draw without replacement by weight (Efraimidis and
 /// Spirakis, "Weighted random sampling with a reservoir", 2006).
-fn draw_key(owner: &KnownOwner, rng: &mut impl Rng) -> f64 {
+fn draw_key(owner: &OwnerCapacity, rng: &mut impl Rng) -> f64 {
     let chance: f64 = rng.random();
     if owner.room == 0 {
         // Behind all with room, whose keys are above 0.
         return chance - 1.0;
     }
-    let factor = if owner.is_near { NEAR_FACTOR } else { 1.0 };
+    let factor = if owner.is_same_domain {
+        NEAR_FACTOR
+    } else {
+        1.0
+    };
     chance.powf(1.0 / (f64::from(owner.room) * factor))
 }
--- a/src/decisions/queue_limit.rs
+++ b/src/decisions/queue_limit.rs
@@ -25,11 +25,11 @@
 
 /// Learns how long requests hold a slot.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct HoldEstimate {
+pub struct HoldTimeEstimate {
     mean_s: Option<f64>,
 }
 
-impl HoldEstimate {
+impl HoldTimeEstimate {
     /// Notes a run that began in a free slot.
     pub fn note(&mut self, hold: time::Duration) {
         let hold = hold.as_secs_f64();
--- a/src/decisions/rate_limits/rate_limit.rs
+++ b/src/decisions/rate_limits/rate_limit.rs
@@ -113,7 +113,7 @@
 /// gateways that count different numbers of each other.
 const USED_MARGIN: f64 = 0.9;
 /// Longest flow of tokens that is neither in a pool nor spent: in deposits
-/// ([`super::token_pools::CREDIT_BURST`]) and in grants ([`super::grant_stock::GRANT_TTL`]).
+/// ([`super::token_pools::CREDIT_BURST`]) and in grants ([`super::token_cache::GRANT_TTL`]).
 const IN_TRANSIT: time::Duration = time::Duration::from_millis(400);
 /// A pool that cannot hold a whole token would admit nothing.
 const LEAST_DEPTH: f64 = 1.0;
--- a/src/decisions/rate_limits/share_clock.rs
+++ b/src/decisions/rate_limits/share_clock.rs
@@ -19,12 +19,14 @@
 
 /// Digest of a list of keepers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
-pub struct KeeperView(u64);
+pub struct QuotaServerView(u64);
 
-impl KeeperView {
+impl QuotaServerView {
     /// The digest of a list.
-    pub fn of(keepers: &[ids::InstanceId]) -> Self {
-        let numbers = keepers.iter().map(|k| xxh3::xxh3_64(k.as_str().as_bytes()));
+    pub fn of(quota_servers: &[ids::InstanceId]) -> Self {
+        let numbers = quota_servers
+            .iter()
+            .map(|k| xxh3::xxh3_64(k.as_str().as_bytes()));
         Self(numbers.fold(0, u64::wrapping_add))
     }
 }
@@ -46,7 +48,9 @@
 }
 
 /// Keepers of pools among candidates.
-pub fn keepers_among(candidates: impl Iterator<Item = ids::InstanceId>) -> Vec<ids::InstanceId> {
+pub fn quota_servers_among(
+    candidates: impl Iterator<Item = ids::InstanceId>,
+) -> Vec<ids::InstanceId> {
     let mut ids: Vec<_> = candidates.collect();
     // By hash: names that follow each other stand in one failure domain.
     ids.sort_by_key(|id| ownership::weight(id.as_str(), "keepers"));
@@ -56,11 +60,11 @@
 }
 
 /// The keepers of a workspace's pools; each has an equal part of its limit.
-pub fn keepers_of(
+pub fn quota_servers_of(
     workspace: &ids::WorkspaceId,
-    keepers: &[ids::InstanceId],
+    quota_servers: &[ids::InstanceId],
 ) -> Vec<ids::InstanceId> {
-    let mut order: Vec<_> = keepers.iter().collect();
+    let mut order: Vec<_> = quota_servers.iter().collect();
     order.sort_by_key(|k| std::cmp::Reverse(ownership::weight(k.as_str(), workspace.as_str())));
     order.into_iter().take(2).cloned().collect()
 }
@@ -87,7 +91,7 @@
     /// Tells it from the others.
     pub number: DepositNumber,
     /// The keepers that the gateway knows.
-    pub view: KeeperView,
+    pub view: QuotaServerView,
     /// The time since the last one.
     pub time: time::Duration,
 }
@@ -97,38 +101,42 @@
 /// Invariant: each moment of the gateway's time is deposited once at most with each keeper.
 #[derive(Debug, Clone, Default)]
 pub struct ShareClock {
-    view: Option<KeeperView>,
-    keepers: Vec<ids::InstanceId>,
-    deposited_at: collections::BTreeMap<ids::InstanceId, clock::Moment>,
+    view: Option<QuotaServerView>,
+    quota_servers: Vec<ids::InstanceId>,
+    deposited_at: collections::BTreeMap<ids::InstanceId, clock::MonotonicTime>,
     number: DepositNumber,
 }
 
 impl ShareClock {
     /// Follows the list of keepers. At a change the time since the last deposits is
     /// forfeited: a workspace may have moved to a keeper that had a deposit since.
-    pub fn set_keepers(&mut self, keepers: &[ids::InstanceId], now: clock::Moment) {
-        let view = KeeperView::of(keepers);
+    pub fn set_quota_servers(
+        &mut self,
+        quota_servers: &[ids::InstanceId],
+        now: clock::MonotonicTime,
+    ) {
+        let view = QuotaServerView::of(quota_servers);
         if self.view.replace(view) != Some(view) {
-            self.keepers = keepers.to_vec();
-            let from_now = keepers.iter().map(|k| (k.clone(), now));
+            self.quota_servers = quota_servers.to_vec();
+            let from_now = quota_servers.iter().map(|k| (k.clone(), now));
             self.deposited_at = from_now.collect();
         }
     }
 
     /// The keepers.
-    pub fn keepers(&self) -> &[ids::InstanceId] {
-        &self.keepers
+    pub fn quota_servers(&self) -> &[ids::InstanceId] {
+        &self.quota_servers
     }
 
     /// Takes what is to be deposited with a keeper, if it is due.
     pub fn take(
         &mut self,
-        keeper: &ids::InstanceId,
-        now: clock::Moment,
+        quota_server: &ids::InstanceId,
+        now: clock::MonotonicTime,
         rng: &mut impl rand::Rng,
     ) -> Option<DueDeposit> {
         let view = self.view?;
-        let last = self.deposited_at.get_mut(keeper)?;
+        let last = self.deposited_at.get_mut(quota_server)?;
         let passed = now.since(*last);
         let is_first = self.number == DepositNumber::default();
         let is_early = passed >= EARLY_PAUSE && (is_first || rng.random_bool(EARLY_CHANCE));
@@ -145,11 +153,11 @@
     }
 
     /// Takes back a deposit that was certainly not sent.
-    pub fn put_back(&mut self, keeper: &ids::InstanceId, deposit: &DueDeposit) {
+    pub fn put_back(&mut self, quota_server: &ids::InstanceId, deposit: &DueDeposit) {
         if self.view != Some(deposit.view) {
             return;
         }
-        if let Some(last) = self.deposited_at.get_mut(keeper) {
+        if let Some(last) = self.deposited_at.get_mut(quota_server) {
             *last = last.before(deposit.time);
         }
     }
--- a/src/decisions/rate_limits/grant_stock.rs
+++ b/src/decisions/rate_limits/token_cache.rs
@@ -28,22 +28,22 @@
 ///
 /// Invariant: `lots` stand in the order in which they expire, none of them empty.
 #[derive(Debug, Clone, Default)]
-struct WorkspaceStock {
-    lots: collections::VecDeque<(clock::Moment, u32)>,
+struct WorkspaceTokens {
+    lots: collections::VecDeque<(clock::MonotonicTime, u32)>,
     /// Requests a second.
     demand: f64,
-    seen_at: clock::Moment,
-    denied: Option<(clock::Moment, Denial)>,
+    seen_at: clock::MonotonicTime,
+    denied: Option<(clock::MonotonicTime, Denial)>,
 }
 
-impl WorkspaceStock {
-    fn note_demand(&mut self, now: clock::Moment) {
+impl WorkspaceTokens {
+    fn note_demand(&mut self, now: clock::MonotonicTime) {
         let passed = now.since(self.seen_at).as_secs_f64() / DEMAND_SPAN.as_secs_f64();
         self.demand = self.demand * (-passed).exp() + 1.0 / DEMAND_SPAN.as_secs_f64();
         self.seen_at = now;
     }
 
-    fn drop_expired(&mut self, now: clock::Moment) {
+    fn drop_expired(&mut self, now: clock::MonotonicTime) {
         while self.lots.front().is_some_and(|(until, _)| *until <= now) {
             self.lots.pop_front();
         }
@@ -52,26 +52,26 @@
 
 /// The drawn tokens of all workspaces at a gateway.
 #[derive(Debug, Clone, Default)]
-pub struct GrantStock {
-    workspaces: collections::BTreeMap<ids::WorkspaceId, WorkspaceStock>,
+pub struct TokenCache {
+    workspaces: collections::BTreeMap<ids::WorkspaceId, WorkspaceTokens>,
 }
 
-impl GrantStock {
+impl TokenCache {
     /// Notes a request of a workspace.
-    pub fn note_request(&mut self, workspace: &ids::WorkspaceId, now: clock::Moment) {
+    pub fn note_request(&mut self, workspace: &ids::WorkspaceId, now: clock::MonotonicTime) {
         self.entry(workspace).note_demand(now);
     }
 
-    fn entry(&mut self, workspace: &ids::WorkspaceId) -> &mut WorkspaceStock {
+    fn entry(&mut self, workspace: &ids::WorkspaceId) -> &mut WorkspaceTokens {
         if !self.workspaces.contains_key(workspace) {
-            let fresh = WorkspaceStock::default();
+            let fresh = WorkspaceTokens::default();
             self.workspaces.insert(workspace.clone(), fresh);
         }
         self.workspaces.get_mut(workspace).expect("it was put in")
     }
 
     /// Spends a token, if there is one.
-    pub fn spend(&mut self, workspace: &ids::WorkspaceId, now: clock::Moment) -> bool {
+    pub fn spend(&mut self, workspace: &ids::WorkspaceId, now: clock::MonotonicTime) -> bool {
         let stock = self.entry(workspace);
         stock.drop_expired(now);
         let Some((_, count)) = stock.lots.front_mut() else {
@@ -93,7 +93,12 @@
     }
 
     /// Takes tokens that were asked for at a moment.
-    pub fn put(&mut self, workspace: &ids::WorkspaceId, count: u32, asked_at: clock::Moment) {
+    pub fn put(
+        &mut self,
+        workspace: &ids::WorkspaceId,
+        count: u32,
+        asked_at: clock::MonotonicTime,
+    ) {
         let stock = self.entry(workspace);
         stock.denied = None;
         if count > 0 {
@@ -108,7 +113,7 @@
         &mut self,
         workspace: &ids::WorkspaceId,
         denial: Denial,
-        now: clock::Moment,
+        now: clock::MonotonicTime,
     ) {
         let hold = match denial {
             Denial::Exceeded(wait) => wait.min(MAX_HOLD),
@@ -118,13 +123,17 @@
     }
 
     /// Why a workspace gets no tokens, while that is not asked again.
-    pub fn denial(&self, workspace: &ids::WorkspaceId, now: clock::Moment) -> Option<Denial> {
+    pub fn denial(
+        &self,
+        workspace: &ids::WorkspaceId,
+        now: clock::MonotonicTime,
+    ) -> Option<Denial> {
         let (until, denial) = self.workspaces.get(workspace)?.denied?;
         (now < until).then_some(denial)
     }
 
     /// Forgets workspaces without requests since a moment.
-    pub fn forget_idle(&mut self, since: clock::Moment) {
+    pub fn forget_idle(&mut self, since: clock::MonotonicTime) {
         self.workspaces.retain(|_, stock| stock.seen_at >= since);
     }
 
--- a/src/decisions/rate_limits/token_pools.rs
+++ b/src/decisions/rate_limits/token_pools.rs
@@ -4,7 +4,7 @@
 
 use super::{
     rate_limit::{LimitTolerance, RateLimit},
-    share_clock::{self, DepositNumber, KeeperView, ShareTime},
+    share_clock::{self, DepositNumber, QuotaServerView, ShareTime},
 };
 use crate::{clock, decisions::call_budget, ids};
 
@@ -41,9 +41,9 @@
     /// The share.
     pub time: ShareTime,
     /// The keepers that the gateway knows.
-    pub view: KeeperView,
+    pub view: QuotaServerView,
     /// The latest stamp of this process that the gateway has read.
-    pub stamp: clock::Moment,
+    pub stamp: clock::MonotonicTime,
 }
 
 /// What came of a request for tokens.
@@ -84,32 +84,32 @@
 /// Pools are worked out when they are drawn from, so a deposit costs the same for any
 /// number of workspaces.
 #[derive(Debug, Clone)]
-pub struct PoolBoard {
+pub struct PoolTable {
     own: ids::InstanceId,
     tolerance: LimitTolerance,
-    view: Option<KeeperView>,
-    keepers: Vec<ids::InstanceId>,
+    view: Option<QuotaServerView>,
+    quota_servers: Vec<ids::InstanceId>,
     /// All credits so far, in seconds of the whole limit.
     credited: f64,
     /// The same when the list of keepers last changed.
     view_from: f64,
     /// The latest credits, by when they came.
-    recent: collections::VecDeque<(clock::Moment, f64)>,
+    recent: collections::VecDeque<(clock::MonotonicTime, f64)>,
     /// Bounds the credits by the passing of time.
     allowance: call_budget::TokenBucket,
     pools: collections::BTreeMap<ids::WorkspaceId, TokenPool>,
     /// The last deposits of runs of gateways, and when they came.
-    last: collections::HashMap<ids::RunNumber, (DepositNumber, clock::Moment)>,
+    last: collections::HashMap<ids::RunNumber, (DepositNumber, clock::MonotonicTime)>,
 }
 
-impl PoolBoard {
+impl PoolTable {
     /// The board of a process that begins: its pools are empty.
-    pub fn new(own: ids::InstanceId, tolerance: LimitTolerance, now: clock::Moment) -> Self {
+    pub fn new(own: ids::InstanceId, tolerance: LimitTolerance, now: clock::MonotonicTime) -> Self {
         Self {
             own,
             tolerance,
             view: None,
-            keepers: Vec::new(),
+            quota_servers: Vec::new(),
             credited: 0.0,
             view_from: 0.0,
             recent: collections::VecDeque::new(),
@@ -120,17 +120,17 @@
     }
 
     /// Follows the list of keepers; `limit_of` names the limits in force.
-    pub fn set_keepers(
+    pub fn set_quota_servers(
         &mut self,
-        keepers: &[ids::InstanceId],
+        quota_servers: &[ids::InstanceId],
         limit_of: impl Fn(&ids::WorkspaceId) -> Option<RateLimit>,
-        now: clock::Moment,
+        now: clock::MonotonicTime,
     ) {
-        let view = KeeperView::of(keepers);
+        let view = QuotaServerView::of(quota_servers);
         if self.view.replace(view) == Some(view) {
             return;
         }
-        self.keepers = keepers.to_vec();
+        self.quota_servers = quota_servers.to_vec();
         self.view_from = self.credited;
         let backing = self.backing(now);
         let mut pools = std::mem::take(&mut self.pools);
@@ -150,13 +150,13 @@
 
     /// The part of a workspace's limit that is deposited here.
     fn fraction_of(&self, workspace: &ids::WorkspaceId) -> Option<f64> {
-        let order = share_clock::keepers_of(workspace, &self.keepers);
+        let order = share_clock::quota_servers_of(workspace, &self.quota_servers);
         let is_keeper = order.contains(&self.own);
         is_keeper.then(|| 1.0 / order.len() as f64)
     }
 
     /// Credits a deposit.
-    pub fn deposit(&mut self, deposit: &PoolDeposit, now: clock::Moment) -> DepositOutcome {
+    pub fn deposit(&mut self, deposit: &PoolDeposit, now: clock::MonotonicTime) -> DepositOutcome {
         let stamp = deposit.stamp;
         if stamp > now || now.since(stamp) > MAX_STAMP_AGE {
             return DepositOutcome::Late;
@@ -179,8 +179,8 @@
     /// Fraction of all gateways with a deposit within [`BACKING_SPAN`].
     ///
     /// Pools are as deep as that: of a fleet in two parts, none can stock the tokens of both.
-    fn backing(&mut self, now: clock::Moment) -> f64 {
-        let is_old = |at: clock::Moment| now.since(at) > BACKING_SPAN;
+    fn backing(&mut self, now: clock::MonotonicTime) -> f64 {
+        let is_old = |at: clock::MonotonicTime| now.since(at) > BACKING_SPAN;
         while self.recent.front().is_some_and(|(at, _)| is_old(*at)) {
             self.recent.pop_front();
         }
@@ -194,7 +194,7 @@
         workspace: &ids::WorkspaceId,
         limit: &RateLimit,
         wanted: u32,
-        now: clock::Moment,
+        now: clock::MonotonicTime,
     ) -> Grant {
         let Some(fraction) = self.fraction_of(workspace) else {
             return Grant::NotKeeper;
@@ -221,7 +221,11 @@
 
     /// Forgets the pools of workspaces that have no limit any more, and runs whose
     /// deposits could only come late.
-    pub fn retain(&mut self, is_limited: impl Fn(&ids::WorkspaceId) -> bool, now: clock::Moment) {
+    pub fn retain(
+        &mut self,
+        is_limited: impl Fn(&ids::WorkspaceId) -> bool,
+        now: clock::MonotonicTime,
+    ) {
         self.pools.retain(|workspace, _| is_limited(workspace));
         self.last
             .retain(|_, (_, at)| now.since(*at) <= MAX_STAMP_AGE);
--- a/src/decisions/relay.rs
+++ b/src/decisions/relay.rs
@@ -39,7 +39,7 @@
         if index > self.next {
             return RelayStep::Gap;
         }
-        invariant::hold("nothing_after_the_last_event", !self.finished);
+        invariant::check("nothing_after_the_last_event", !self.finished);
         self.next += 1;
         self.finished = last;
         RelayStep::Forward
--- a/src/decisions/retry.rs
+++ b/src/decisions/retry.rs
@@ -51,7 +51,7 @@
     /// Whether it may run more than once.
     pub repeatable: bool,
     /// When its caller needs the answer.
-    pub deadline: clock::Moment,
+    pub deadline: clock::MonotonicTime,
     /// Attempts at most.
     pub max_attempts: u32,
 }
@@ -65,7 +65,7 @@
     attempts: u32,
     terms: &RetryTerms,
     budget: &mut RetryBudget,
-    now: clock::Moment,
+    now: clock::MonotonicTime,
 ) -> bool {
     if !outcome.may_retry(terms.repeatable) {
         return false;
@@ -81,7 +81,7 @@
 
 /// The shortest and the longest pause between tries.
 #[derive(Debug, Clone, Copy)]
-pub struct PauseRange {
+pub struct DelayRange {
     /// After the first try.
     pub first: time::Duration,
     /// After many.
@@ -95,7 +95,7 @@
 /// The pause after a try that came to nothing, as `earlier` before it in a row did.
 ///
 /// It doubles with each, up to the longest, and is spread upwards.
-pub fn pause_after(earlier: u32, range: &PauseRange, rng: &mut impl Rng) -> time::Duration {
+pub fn backoff_delay(earlier: u32, range: &DelayRange, rng: &mut impl Rng) -> time::Duration {
     let factor = 2_u32.saturating_pow(earlier.min(16));
     let pause = range.first.saturating_mul(factor).min(range.last);
     pause.mul_f64(1.0 + rng.random_range(0.0..PAUSE_SPREAD))
--- a/src/decisions/workspace_limit.rs
+++ b/src/decisions/workspace_limit.rs
@@ -55,12 +55,12 @@
 ///
 /// Invariant: `running` is the number of admitted requests that did not end.
 #[derive(Debug, Default)]
-pub struct LimitBoard {
+pub struct LimitTracker {
     workspaces: collections::HashMap<ids::WorkspaceId, WorkspaceUse>,
 }
 
-impl LimitBoard {
-    /// Admits a request, to be ended with [`LimitBoard::end`].
+impl LimitTracker {
+    /// Admits a request, to be ended with [`LimitTracker::end`].
     ///
     /// # Errors
     /// The workspace is over its share.
@@ -68,7 +68,7 @@
         &mut self,
         id: &ids::WorkspaceId,
         share: WorkspaceShare,
-        now: clock::Moment,
+        now: clock::MonotonicTime,
     ) -> Result<(), LimitRefusal> {
         let used = self
             .workspaces
--- a/src/dispatcher/batch_planner.rs
+++ b/src/dispatcher/batch_planner.rs
@@ -22,7 +22,11 @@
 
 impl batch_runner::BatchRunner {
     /// Claims chunks while too little waits, and looks at jobs that may have ended.
-    pub(super) fn plan_jobs(&self, snapshot: &sync::Arc<fleet::FleetSnapshot>, now: clock::Moment) {
+    pub(super) fn plan_jobs(
+        &self,
+        snapshot: &sync::Arc<fleet::FleetSnapshot>,
+        now: clock::MonotonicTime,
+    ) {
         if !self.is_time_to_plan(now) {
             return;
         }
@@ -51,7 +55,7 @@
     }
 
     /// Planning takes time in proportion to the active jobs: seldom if enough work is in hand.
-    fn is_time_to_plan(&self, now: clock::Moment) -> bool {
+    fn is_time_to_plan(&self, now: clock::MonotonicTime) -> bool {
         let mut state = self.state.borrow_mut();
         let low = state.waiting_items() < self.context.settings.batch.low_water_items;
         let pause = if low { LOW_PLAN_PAUSE } else { PLAN_PAUSE };
@@ -82,7 +86,7 @@
         job: &job::JobManifest,
         group: &[ownership::OwnerCandidate],
         snapshot: &fleet::FleetSnapshot,
-        now: clock::Moment,
+        now: clock::MonotonicTime,
     ) {
         loop {
             let mut state = self.state.borrow_mut();
@@ -147,7 +151,7 @@
     }
 
     /// Reads a job's chunks when that may tell something new; the first ends the job.
-    fn look_at(&self, job: &job::JobManifest, first: bool, now: clock::Moment) {
+    fn look_at(&self, job: &job::JobManifest, first: bool, now: clock::MonotonicTime) {
         let mut state = self.state.borrow_mut();
         if state.looking.len() >= MAX_LOOKS {
             return;
--- a/src/dispatcher/batch_runner.rs
+++ b/src/dispatcher/batch_runner.rs
@@ -34,19 +34,19 @@
     /// Group of each job, and the epoch of the owners that it was made from.
     pub(super) groups:
         collections::HashMap<ids::JobId, (u64, rc::Rc<Vec<ownership::OwnerCandidate>>)>,
-    pub(super) planned_at: clock::Moment,
+    pub(super) planned_at: clock::MonotonicTime,
     /// Jobs that the plans were last compared with.
     pub(super) seen_jobs: sync::Arc<collections::BTreeMap<ids::JobId, sync::Arc<job::JobManifest>>>,
     pub(super) order: job_order::JobOrder,
     /// Streams that run, and the chunk that each is for.
     pub(super) streams: collections::HashMap<(ids::EndpointId, admission::StreamNumber), ChunkKey>,
-    pub(super) health: health::HealthBoard,
+    pub(super) health: health::HealthTracker,
     pub(super) claiming: collections::HashSet<ChunkKey>,
     pub(super) looking: collections::HashSet<ids::JobId>,
-    pub(super) claim_again_at: clock::Moment,
-    pub(super) round_at: clock::Moment,
+    pub(super) claim_again_at: clock::MonotonicTime,
+    pub(super) round_at: clock::MonotonicTime,
     /// When this process came back from a pause, until it has read the service again.
-    pub(super) paused_until_read: Option<clock::Moment>,
+    pub(super) paused_until_read: Option<clock::MonotonicTime>,
     pub(super) stop: Option<StopRequest>,
 }
 
@@ -147,7 +147,7 @@
     }
 
     /// Notices a long pause of the process; false until the service was read again.
-    fn note_round(&self, snapshot: &fleet::FleetSnapshot, now: clock::Moment) -> bool {
+    fn note_round(&self, snapshot: &fleet::FleetSnapshot, now: clock::MonotonicTime) -> bool {
         let mut state = self.state.borrow_mut();
         if now.since(state.round_at) >= self.context.settings.pace.lapse() {
             log::warn!("event=paused ms={}", now.since(state.round_at).as_millis());
@@ -175,7 +175,7 @@
         for (key, work) in &state.chunks {
             let job = snapshot.jobs.get(&key.0);
             let cancelled = job.is_some_and(|j| j.cancelling_at.is_some());
-            if cancelled && !protection::is_out("cancel") {
+            if cancelled && !protection::is_disabled("cancel") {
                 work.borrow_mut().release();
                 self.cancel_streams(&state, key);
             }
@@ -306,7 +306,7 @@
             item_run::ItemEnd::Failed(why, text) => {
                 pending.attempts += 1;
                 pending.text = text;
-                if pending.attempts >= max_attempts && !protection::is_out("attempts") {
+                if pending.attempts >= max_attempts && !protection::is_disabled("attempts") {
                     let code = batch_item::ItemErrorCode::EndpointFailed;
                     work.settle_failed(pending.index, code, &why);
                     "failed"
@@ -331,7 +331,7 @@
         }
     }
 
-    fn start_commits(&self, now: clock::Moment) {
+    fn start_commits(&self, now: clock::MonotonicTime) {
         let commit_after = self.context.settings.batch.commit_after_ms;
         let commit_after = time::Duration::from_millis(commit_after);
         let chunks: Vec<(ChunkKey, SharedChunk)> = self
--- a/src/dispatcher/chunk_work.rs
+++ b/src/dispatcher/chunk_work.rs
@@ -91,7 +91,7 @@
     wants_intent: bool,
     wants_release: bool,
     segments_made: u32,
-    committed_at: clock::Moment,
+    committed_at: clock::MonotonicTime,
 }
 
 impl ChunkWork {
@@ -101,7 +101,7 @@
     pub fn new(
         claimed: ClaimedChunk,
         terms_of: impl Fn(&batch_item::BatchItem) -> ItemTerms,
-        now: clock::Moment,
+        now: clock::MonotonicTime,
     ) -> Self {
         let ClaimedChunk {
             job,
@@ -196,7 +196,7 @@
             self.pending.push_front(pending);
             return None;
         }
-        invariant::hold(
+        invariant::check(
             "item_runs_once_at_a_time",
             self.running.insert(pending.index),
         );
@@ -255,7 +255,7 @@
     /// What to write now, if anything.
     pub fn plan_commit(
         &mut self,
-        now: clock::Moment,
+        now: clock::MonotonicTime,
         commit_after: time::Duration,
     ) -> Option<PlannedCommit> {
         if self.committing {
@@ -343,7 +343,7 @@
         &mut self,
         planned: &PlannedCommit,
         revision: store::ObjectRevision,
-        now: clock::Moment,
+        now: clock::MonotonicTime,
     ) -> bool {
         self.committing = false;
         self.committed_at = now;
--- a/src/dispatcher/claims.rs
+++ b/src/dispatcher/claims.rs
@@ -76,7 +76,7 @@
     ClaimOutcome::Claimed(Box::new(work))
 }
 
-fn terms_of(item: &batch_item::BatchItem, bundle: &bundle::BundleView) -> chunk_work::ItemTerms {
+fn terms_of(item: &batch_item::BatchItem, bundle: &bundle::IndexedBundle) -> chunk_work::ItemTerms {
     chunk_work::ItemTerms {
         may_repeat: may_repeat(item, bundle),
         is_served: item.service().is_ok_and(|name| bundle.serves(&name)),
@@ -84,8 +84,8 @@
 }
 
 /// Whether an item may run more than once: by its own word, else by its service's.
-fn may_repeat(item: &batch_item::BatchItem, bundle: &bundle::BundleView) -> bool {
-    if protection::is_out("intent") {
+fn may_repeat(item: &batch_item::BatchItem, bundle: &bundle::IndexedBundle) -> bool {
+    if protection::is_disabled("intent") {
         return true;
     }
     if let Some(repeatable) = item.repeatable {
--- a/src/dispatcher/context.rs
+++ b/src/dispatcher/context.rs
@@ -14,7 +14,7 @@
     /// The platform's object service.
     pub store: sync::Arc<dyn store::ObjectStore>,
     /// What it knows of the fleet.
-    pub fleet: fleet::FleetView,
+    pub fleet: fleet::FleetHandle,
     /// Its metrics.
     pub metrics: sync::Arc<metrics::MetricSet>,
     /// Ledgers of the endpoints that it owns.
--- a/src/dispatcher/item_run.rs
+++ b/src/dispatcher/item_run.rs
@@ -85,7 +85,7 @@
 fn to_result(
     item: &batch_item::BatchItem,
     call: &endpoint_client::EndpointCall,
-    answer: &endpoint_client::EndpointAnswer,
+    answer: &endpoint_client::EndpointResponse,
 ) -> batch_item::ItemResult {
     if answer.status.is_client_error() {
         let message = format!("the endpoint answered {}", answer.status);
@@ -159,7 +159,7 @@
     let model = item.service().map(|s| s.to_string()).unwrap_or_default();
     let chat = wire::is_chat(&item.url);
     let prompt_tokens = item.body.to_string().len().div_ceil(BYTES_PER_TOKEN);
-    let body = wire::whole_answer(chat, call.attempt.as_str(), &model, text, prompt_tokens);
+    let body = wire::full_response(chat, call.attempt.as_str(), &model, text, prompt_tokens);
     let response = batch_item::ItemResponse {
         status_code: 200,
         request_id: call.attempt.to_string(),
--- a/src/dispatcher/ledger_board.rs
+++ b/src/dispatcher/ledger_board.rs
@@ -29,7 +29,7 @@
 struct SeenParts {
     endpoints: sync::Arc<Vec<platform::EndpointRecord>>,
     dispatchers: sync::Arc<Vec<ownership::OwnerCandidate>>,
-    bundle: sync::Arc<bundle::BundleView>,
+    bundle: sync::Arc<bundle::IndexedBundle>,
 }
 
 #[derive(Default)]
@@ -59,7 +59,7 @@
     metrics: sync::Arc<metrics::MetricSet>,
     /// Wakes the batch thread when room may have come.
     pub changed: tokio::sync::Notify,
-    fleet: sync::OnceLock<fleet::FleetView>,
+    fleet: sync::OnceLock<fleet::FleetHandle>,
     policy: PolicyOverride,
 }
 
@@ -81,7 +81,7 @@
     }
 
     /// Gives the board the view that it answers bundle questions from.
-    pub fn set_fleet(&self, fleet: fleet::FleetView) {
+    pub fn set_fleet(&self, fleet: fleet::FleetHandle) {
         let _ = self.fleet.set(fleet);
     }
 
@@ -144,7 +144,7 @@
     fn spec_of(
         &self,
         record: &platform::EndpointRecord,
-        bundle: &bundle::BundleView,
+        bundle: &bundle::IndexedBundle,
         settings: &settings::dispatcher::BatchSettings,
     ) -> admission::AdmissionSpec {
         let engine = admission::AdmissionSpec {
@@ -294,18 +294,18 @@
 }
 
 impl link::LinkHandler for LedgerBoard {
-    fn permit(&self, request: link::PermitRequest) -> link::PermitAnswer {
+    fn permit(&self, request: link::PermitRequest) -> link::PermitResponse {
         let now = self.clock.now();
         let mut state = self.state();
         let Some(owned) = state.endpoints.get_mut(&request.endpoint) else {
-            return link::PermitAnswer::NotOwner;
+            return link::PermitResponse::NotOwner;
         };
         let leaving = owned.record.state == platform::EndpointState::Leaving;
-        if leaving && !protection::is_out("leaving") {
-            return link::PermitAnswer::Leaving;
+        if leaving && !protection::is_disabled("leaving") {
+            return link::PermitResponse::Leaving;
         }
         let Some(grant) = owned.ledger.request_permit(request.number, now) else {
-            return link::PermitAnswer::Full;
+            return link::PermitResponse::Full;
         };
         for number in &grant.preempt {
             let key = (request.endpoint.clone(), *number);
@@ -314,7 +314,7 @@
                 self.metrics.preempted.inc();
             }
         }
-        link::PermitAnswer::Granted {
+        link::PermitResponse::Granted {
             online: grant.online,
             batch: grant.batch,
             waiting: grant.waiting,
--- a/src/dispatcher/mod.rs
+++ b/src/dispatcher/mod.rs
@@ -15,7 +15,7 @@
 
 use tokio::sync::{mpsc, oneshot};
 
-use crate::{daemon_parts, fleet, http_server, link, noted::NotedError as _, settings};
+use crate::{daemon_parts, fleet, http_server, link, log_error::LogError as _, settings};
 
 /// Longest wait for chunks to be handed back at a planned stop.
 const STOP_TIMEOUT: time::Duration = time::Duration::from_secs(30);
@@ -102,7 +102,7 @@
         let waiting = async {
             if self.stops.send(done).await.is_ok() {
                 let waited = actix_rt::time::timeout(STOP_TIMEOUT, handed_back).await;
-                waited.noted("work_not_handed_back");
+                waited.ok_or_log("work_not_handed_back");
             }
         };
         actix_rt::System::new().block_on(waiting);
--- a/src/dispatcher/status_page.rs
+++ b/src/dispatcher/status_page.rs
@@ -8,7 +8,7 @@
 use crate::{fleet, http_server, metrics};
 
 struct StatusPage {
-    fleet: fleet::FleetView,
+    fleet: fleet::FleetHandle,
     metrics: sync::Arc<metrics::MetricSet>,
 }
 
@@ -16,7 +16,7 @@
     fn handle(
         &self,
         request: actix_http::Request,
-    ) -> future::LocalBoxFuture<'static, http_server::HttpAnswer> {
+    ) -> future::LocalBoxFuture<'static, http_server::HttpResponse> {
         let answer = match request.path() {
             "/healthz" => http_server::plain(StatusCode::OK, "ok"),
             "/readyz" if self.fleet.snapshot().synced => {
@@ -36,7 +36,7 @@
 /// The address cannot be bound.
 pub fn start(
     listen: net::SocketAddr,
-    fleet: fleet::FleetView,
+    fleet: fleet::FleetHandle,
     metrics: sync::Arc<metrics::MetricSet>,
 ) -> io::Result<http_server::ServerGuard> {
     let options = http_server::ServerOptions::named("status");
--- a/src/endpoint_client.rs
+++ b/src/endpoint_client.rs
@@ -6,7 +6,7 @@
 use eventsource_stream::Eventsource as _;
 use futures::{stream, StreamExt as _};
 
-use crate::{http_client, ids, noted::NotedError as _, outcome, protection, wire};
+use crate::{http_client, ids, log_error::LogError as _, outcome, protection, wire};
 
 /// Largest whole answer of an endpoint, in bytes.
 const MAX_ANSWER_BYTES: usize = 16 << 20;
@@ -36,7 +36,7 @@
 
 /// A whole answer of an endpoint.
 #[derive(Debug, Clone)]
-pub struct EndpointAnswer {
+pub struct EndpointResponse {
     /// Status of HTTP.
     pub status: StatusCode,
     /// Content type of the body.
@@ -103,7 +103,7 @@
     }
     let echoed = header(wire::ATTEMPT_HEADER);
     let crossed = echoed.is_some_and(|name| name != call.attempt.as_str());
-    if crossed && !protection::is_out("echo") {
+    if crossed && !protection::is_disabled("echo") {
         return Err(outcome::AttemptOutcome::Unknown(CROSSED.into()));
     }
     Ok(response)
@@ -124,7 +124,7 @@
 pub async fn call_whole(
     client: &awc::Client,
     call: &EndpointCall,
-) -> outcome::AttemptOutcome<EndpointAnswer> {
+) -> outcome::AttemptOutcome<EndpointResponse> {
     let mut response = match send(client, call).await {
         Ok(response) => response,
         Err(ended) => return recast(ended),
@@ -145,7 +145,7 @@
     if status.is_server_error() {
         return outcome::AttemptOutcome::Failed(format!("the endpoint answered {status}"));
     }
-    outcome::AttemptOutcome::Completed(EndpointAnswer {
+    outcome::AttemptOutcome::Completed(EndpointResponse {
         status,
         content_type,
         body,
@@ -157,7 +157,7 @@
     /// Events.
     Events(EventStream),
     /// The endpoint answered otherwise: a fault of the request.
-    Whole(EndpointAnswer),
+    Whole(EndpointResponse),
 }
 
 /// Opens a stream.
@@ -177,7 +177,7 @@
         return outcome::AttemptOutcome::Failed(format!("the endpoint answered {status}"));
     }
     match response.body().limit(MAX_ANSWER_BYTES).await {
-        Ok(body) => outcome::AttemptOutcome::Completed(OpenedStream::Whole(EndpointAnswer {
+        Ok(body) => outcome::AttemptOutcome::Completed(OpenedStream::Whole(EndpointResponse {
             status,
             content_type: "application/json".into(),
             body,
@@ -255,7 +255,7 @@
     let url = format!("http://{address}{}{attempt}", wire::STREAMS_PATH);
     // Without an answer the closed connection still ends the stream.
     let told = client.delete(url).timeout(CANCEL_TIMEOUT).send().await;
-    told.noted("stream_cancel_unanswered");
+    told.ok_or_log("stream_cancel_unanswered");
 }
 
 /// A client for endpoints, for the thread that it is made on.
--- a/src/error.rs
+++ b/src/error.rs
@@ -170,7 +170,7 @@
     }
 
     /// The answer to give.
-    pub fn answer(&self) -> http_server::HttpAnswer {
+    pub fn answer(&self) -> http_server::HttpResponse {
         let mut answer = http_server::json(self.code.status(), &self.body());
         if let Some(after) = self.retry_after {
             let name = actix_http::header::RETRY_AFTER;
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -15,11 +15,11 @@
 pub use documents::{document_key, read_document, BUNDLE_HEAD_KEY};
 pub use snapshot::{FleetSnapshot, InstanceRecord, InstanceRole};
 
-use crate::{bundle, clock, ids, link, metrics, noted::NotedError as _, settings, store};
+use crate::{bundle, clock, ids, link, log_error::LogError as _, metrics, settings, store};
 
 /// A handle to what the process knows; cheap to copy and to read.
 #[derive(Clone)]
-pub struct FleetView {
+pub struct FleetHandle {
     current: sync::Arc<arc_swap::ArcSwap<FleetSnapshot>>,
     changed: watch::Receiver<u64>,
     commands: mpsc::Sender<FleetCommand>,
@@ -30,7 +30,7 @@
     Leave,
 }
 
-impl FleetView {
+impl FleetHandle {
     /// The newest snapshot.
     pub fn snapshot(&self) -> sync::Arc<FleetSnapshot> {
         self.current.load_full()
@@ -44,13 +44,13 @@
     /// Takes a bundle that a peer told; an older one is left alone.
     pub fn offer_bundle(&self, offer: link::BundleOffer) {
         let told = self.commands.try_send(FleetCommand::OfferBundle(offer));
-        told.noted("bundle_offer_dropped");
+        told.ok_or_log("bundle_offer_dropped");
     }
 
     /// Shows everyone that this instance takes no new work.
     pub fn leave(&self) {
         let told = self.commands.try_send(FleetCommand::Leave);
-        told.noted("leave_unheard");
+        told.ok_or_log("leave_unheard");
     }
 
     /// The bundle in force here, if its generation is above `known`.
@@ -60,7 +60,7 @@
             return None;
         }
         let document = serde_json::to_string(&bundle.document);
-        let document = document.noted("bundle_untold")?;
+        let document = document.ok_or_log("bundle_untold")?;
         Some(link::BundleOffer {
             generation: bundle.generation,
             document,
@@ -78,7 +78,7 @@
             }
         };
         let waited = actix_rt::time::timeout(timeout, waiting).await;
-        waited.noted("fleet_not_synced");
+        waited.ok_or_log("fleet_not_synced");
         self.snapshot().synced
     }
 }
@@ -108,11 +108,11 @@
     clock: sync::Arc<dyn clock::MonotonicClock>,
     metrics: sync::Arc<metrics::MetricSet>,
     link_client: link::LinkClient,
-) -> io::Result<FleetView> {
+) -> io::Result<FleetHandle> {
     let current = sync::Arc::new(arc_swap::ArcSwap::from_pointee(FleetSnapshot::default()));
     let (publish, changed) = watch::channel(0);
     let (commands, received) = mpsc::channel(COMMAND_RING);
-    let view = FleetView {
+    let view = FleetHandle {
         current: current.clone(),
         changed,
         commands,
--- a/src/fleet/model.rs
+++ b/src/fleet/model.rs
@@ -7,7 +7,7 @@
     bundle, clock,
     decisions::{bundle_steps, job, lease, ownership},
     ids, invariant,
-    noted::NotedError as _,
+    log_error::LogError as _,
     platform, protection, store,
 };
 
@@ -16,7 +16,7 @@
 /// Invariant: the generation of `bundle` never falls.
 pub(super) struct FleetModel {
     pub(super) revision: store::ObjectRevision,
-    pub(super) bundle: sync::Arc<bundle::BundleView>,
+    pub(super) bundle: sync::Arc<bundle::IndexedBundle>,
     pub(super) endpoints: sync::Arc<Vec<platform::EndpointRecord>>,
     pub(super) dispatchers: sync::Arc<Vec<ownership::OwnerCandidate>>,
     pub(super) records: collections::BTreeMap<ids::InstanceId, InstanceRecord>,
@@ -28,11 +28,11 @@
     pub(super) beat: u64,
     pub(super) synced: bool,
     pub(super) store_answers: bool,
-    pub(super) read_at: clock::Moment,
+    pub(super) read_at: clock::MonotonicTime,
 }
 
 impl FleetModel {
-    pub(super) fn new(options: &FleetOptions, now: clock::Moment) -> Self {
+    pub(super) fn new(options: &FleetOptions, now: clock::MonotonicTime) -> Self {
         Self {
             revision: store::ObjectRevision(0),
             bundle: sync::Arc::default(),
@@ -51,7 +51,11 @@
         }
     }
 
-    pub(super) fn take_answer(&mut self, answer: &platform::WatchAnswer, now: clock::Moment) {
+    pub(super) fn take_answer(
+        &mut self,
+        answer: &platform::WatchResponse,
+        now: clock::MonotonicTime,
+    ) {
         for change in &answer.changes {
             self.take_change(change);
         }
@@ -70,7 +74,7 @@
     }
 
     /// Lets leases age; gives how many are live.
-    pub(super) fn tick_leases(&mut self, now: clock::Moment) -> usize {
+    pub(super) fn tick_leases(&mut self, now: clock::MonotonicTime) -> usize {
         let readable = self.store_answers;
         self.leases.tick(now, readable);
         self.records
@@ -98,7 +102,7 @@
     fn take_head(&mut self, value: Option<&str>) {
         let head = value.and_then(|v| {
             let read = serde_json::from_str::<bundle_steps::BundleHead>(v);
-            read.noted("bundle_head_unreadable")
+            read.ok_or_log("bundle_head_unreadable")
         });
         let accepted = head.and_then(|h| h.accepted);
         if let Some(entry) = accepted.filter(|e| e.generation > self.bundle.generation) {
@@ -117,7 +121,7 @@
         };
         // What cannot be read is not gone: the last record stays until its lease lapses.
         let read = serde_json::from_str::<InstanceRecord>(value);
-        if let Some(record) = read.noted("instance_unreadable") {
+        if let Some(record) = read.ok_or_log("instance_unreadable") {
             self.leases.note(&id, record.beat, record.leaving);
             self.records.insert(id, record);
         }
@@ -134,17 +138,17 @@
         };
         // What cannot be read is not gone: an accepted job stays as it was known.
         let read = serde_json::from_str::<job::JobManifest>(value);
-        if let Some(manifest) = read.noted("job_unreadable") {
+        if let Some(manifest) = read.ok_or_log("job_unreadable") {
             jobs.insert(id, sync::Arc::new(manifest));
         }
     }
 
-    pub(super) fn take_bundle(&mut self, view: bundle::BundleView) -> bool {
+    pub(super) fn take_bundle(&mut self, view: bundle::IndexedBundle) -> bool {
         if view.generation <= self.bundle.generation {
             return false;
         }
         let rises = view.generation > self.bundle.generation;
-        invariant::hold("bundle_generation_never_falls", rises);
+        invariant::check("bundle_generation_never_falls", rises);
         if self
             .wanted
             .as_ref()
@@ -157,7 +161,7 @@
     }
 
     pub(super) fn snapshot(&mut self, options: &FleetOptions) -> FleetSnapshot {
-        let lapses = !protection::is_out("lapse");
+        let lapses = !protection::is_disabled("lapse");
         let live = |id: &ids::InstanceId| self.leases.is_live(id) || !lapses;
         let instances: collections::BTreeMap<_, _> = self
             .records
--- a/src/fleet/snapshot.rs
+++ b/src/fleet/snapshot.rs
@@ -41,7 +41,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct FleetSnapshot {
     /// The bundle in force here.
-    pub bundle: sync::Arc<bundle::BundleView>,
+    pub bundle: sync::Arc<bundle::IndexedBundle>,
     /// Endpoints, live and leaving.
     pub endpoints: sync::Arc<Vec<platform::EndpointRecord>>,
     /// Dispatchers that take work.
@@ -57,7 +57,7 @@
     /// Whether the object service answered the latest call.
     pub store_answers: bool,
     /// When the object service was read last.
-    pub read_at: clock::Moment,
+    pub read_at: clock::MonotonicTime,
 }
 
 impl FleetSnapshot {
--- a/src/fleet/watcher.rs
+++ b/src/fleet/watcher.rs
@@ -6,7 +6,7 @@
 
 use super::{documents, model, FleetCommand, FleetOptions, FleetSnapshot, InstanceRecord};
 use crate::{
-    bundle, clock, decisions::call_budget, link, metrics, noted::NotedError as _, platform,
+    bundle, clock, decisions::call_budget, link, log_error::LogError as _, metrics, platform,
     protection, settle, store,
 };
 
@@ -77,13 +77,13 @@
                     self.model.borrow_mut().store_answers = false;
                     self.ask_peers().await;
                     self.publish();
-                    actix_rt::time::sleep(backoff.next_pause()).await;
+                    actix_rt::time::sleep(backoff.next_delay()).await;
                 }
             }
         }
     }
 
-    async fn take_answer(&self, answer: platform::WatchAnswer) {
+    async fn take_answer(&self, answer: platform::WatchResponse) {
         self.model
             .borrow_mut()
             .take_answer(&answer, self.clock.now());
@@ -99,7 +99,7 @@
         };
         match documents::read_document(self.store.as_ref(), &entry).await {
             Ok(document) => {
-                let view = bundle::BundleView::new(entry.generation, document);
+                let view = bundle::IndexedBundle::new(entry.generation, document);
                 self.apply_bundle(view);
             }
             Err(e) => {
@@ -109,7 +109,7 @@
         }
     }
 
-    fn apply_bundle(&self, view: bundle::BundleView) {
+    fn apply_bundle(&self, view: bundle::IndexedBundle) {
         let generation = view.generation;
         if self.model.borrow_mut().take_bundle(view) {
             log::info!("event=bundle_in_force generation={generation}");
@@ -128,7 +128,7 @@
         }
         match serde_json::from_str(&offer.document) {
             Ok(document) => {
-                self.apply_bundle(bundle::BundleView::new(offer.generation, document));
+                self.apply_bundle(bundle::IndexedBundle::new(offer.generation, document));
                 self.model.borrow_mut().synced = true;
                 self.publish();
             }
@@ -169,7 +169,7 @@
         if let Ok(Some(found)) = self.store.get(class, &key).await {
             let condition = store::WriteCondition::Match(found.revision);
             let removed = self.store.remove(class, &key, condition).await;
-            removed.noted("old_stop_left");
+            removed.ok_or_log("old_stop_left");
         }
     }
 
@@ -237,7 +237,7 @@
 
     /// Removes the record of an instance that is long gone.
     async fn sweep_one(&self) {
-        if protection::is_out("lapse") {
+        if protection::is_disabled("lapse") {
             return;
         }
         let gone = self.model.borrow().leases.long_gone();
@@ -248,7 +248,7 @@
         let key = format!("instance/{id}");
         let always = store::WriteCondition::Always;
         let removed = self.store.remove(class, &key, always).await;
-        removed.noted("instance_record_left");
+        removed.ok_or_log("instance_record_left");
     }
 }
 
--- a/src/gateway/batches.rs
+++ b/src/gateway/batches.rs
@@ -6,7 +6,7 @@
 use crate::{
     decisions::{call_budget, job},
     error, http_server, ids, job_store,
-    noted::NotedError as _,
+    log_error::LogError as _,
     settle, store, wire,
 };
 
@@ -97,7 +97,7 @@
     context: &sync::Arc<context::GatewayContext>,
     terms: &caller_request::CallerTerms,
     mut request: actix_http::Request,
-) -> error::ApiResult<http_server::HttpAnswer> {
+) -> error::ApiResult<http_server::HttpResponse> {
     let limits = &context.settings.callers.limits;
     let timeout = time::Duration::from_millis(limits.body_timeout_ms);
     let body = caller_request::read_body(&mut request, limits.body_bytes, timeout).await?;
@@ -368,7 +368,7 @@
                 log::info!("event=job_cancelling job={}", cancelled.id);
                 // The cancellation stands, whether its counts can be read or not.
                 let counts = read_counts(context, &cancelled).await;
-                let counts = counts.noted("job_uncounted").unwrap_or_default();
+                let counts = counts.ok_or_log("job_uncounted").unwrap_or_default();
                 return Ok(JobView::Active(sync::Arc::new(cancelled), counts));
             }
             Ok(settle::SettledWrite::Lost(_)) => continue,
@@ -431,7 +431,7 @@
     if let Ok(record) = serde_json::from_str::<job::JobRecord>(text) {
         return Some(JobView::Ended(Box::new(record)));
     }
-    let manifest: job::JobManifest = serde_json::from_str(text).noted("job_unreadable")?;
+    let manifest: job::JobManifest = serde_json::from_str(text).ok_or_log("job_unreadable")?;
     let counts = job::ItemCounts {
         total: manifest.items,
         ..job::ItemCounts::default()
--- a/src/gateway/caller_request.rs
+++ b/src/gateway/caller_request.rs
@@ -63,7 +63,7 @@
 /// The key is missing or unknown.
 pub fn authenticate(
     head: &actix_http::RequestHead,
-    bundle: &bundle::BundleView,
+    bundle: &bundle::IndexedBundle,
 ) -> error::ApiResult<bundle::WorkspaceSpec> {
     let key = bearer(head).unwrap_or_default();
     bundle.workspace_of(key).cloned().ok_or_else(|| {
@@ -85,7 +85,7 @@
 /// The key is unknown, or a header holds something else than allowed.
 pub fn read_terms(
     head: &actix_http::RequestHead,
-    bundle: &bundle::BundleView,
+    bundle: &bundle::IndexedBundle,
     request_id: String,
     default_timeout: time::Duration,
 ) -> error::ApiResult<CallerTerms> {
--- a/src/gateway/context.rs
+++ b/src/gateway/context.rs
@@ -21,13 +21,13 @@
     /// The platform's object service.
     pub store: sync::Arc<dyn store::ObjectStore>,
     /// What it knows of the fleet.
-    pub fleet: fleet::FleetView,
+    pub fleet: fleet::FleetHandle,
     /// Links to its peers.
     pub link: link::LinkClient,
     /// Its metrics.
     pub metrics: sync::Arc<metrics::MetricSet>,
-    limits: sync::Mutex<workspace_limit::LimitBoard>,
-    health: sync::Mutex<health::HealthBoard>,
+    limits: sync::Mutex<workspace_limit::LimitTracker>,
+    health: sync::Mutex<health::HealthTracker>,
     retries: sync::Mutex<retry::RetryBudget>,
     outstanding: sync::Mutex<collections::HashMap<ids::EndpointId, u32>>,
     counts: sync::Mutex<CountsCache>,
@@ -53,7 +53,7 @@
     pub fn new(
         settings: settings::gateway::GatewaySettings,
         parts: daemon_parts::DaemonParts,
-        fleet: fleet::FleetView,
+        fleet: fleet::FleetHandle,
     ) -> Self {
         Self {
             settings,
@@ -73,12 +73,12 @@
     }
 
     /// What the workspaces use here.
-    pub fn limits(&self) -> sync::MutexGuard<'_, workspace_limit::LimitBoard> {
+    pub fn limits(&self) -> sync::MutexGuard<'_, workspace_limit::LimitTracker> {
         lock(&self.limits)
     }
 
     /// Which endpoints fail.
-    pub fn health(&self) -> sync::MutexGuard<'_, health::HealthBoard> {
+    pub fn health(&self) -> sync::MutexGuard<'_, health::HealthTracker> {
         lock(&self.health)
     }
 
--- a/src/gateway/files.rs
+++ b/src/gateway/files.rs
@@ -103,7 +103,7 @@
     context: &sync::Arc<context::GatewayContext>,
     terms: &caller_request::CallerTerms,
     mut request: actix_http::Request,
-) -> error::ApiResult<http_server::HttpAnswer> {
+) -> error::ApiResult<http_server::HttpResponse> {
     let content_type = http_server::header(request.head(), "content-type").unwrap_or("");
     let boundary = multer::parse_boundary(content_type)
         .map_err(|_| invalid("a multipart/form-data body is needed"))?;
--- a/src/gateway/generation.rs
+++ b/src/gateway/generation.rs
@@ -14,7 +14,7 @@
     client: &awc::Client,
     terms: caller_request::CallerTerms,
     mut request: actix_http::Request,
-) -> error::ApiResult<http_server::HttpAnswer> {
+) -> error::ApiResult<http_server::HttpResponse> {
     let limits = &context.settings.callers.limits;
     let timeout = time::Duration::from_millis(limits.body_timeout_ms);
     let body = caller_request::read_body(&mut request, limits.body_bytes, timeout).await?;
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -34,12 +34,12 @@
 
 /// Answers peers on behalf of a gateway.
 struct GatewayLink {
-    fleet: sync::OnceLock<fleet::FleetView>,
+    fleet: sync::OnceLock<fleet::FleetHandle>,
 }
 
 impl link::LinkHandler for GatewayLink {
-    fn permit(&self, _: link::PermitRequest) -> link::PermitAnswer {
-        link::PermitAnswer::NotOwner
+    fn permit(&self, _: link::PermitRequest) -> link::PermitResponse {
+        link::PermitResponse::NotOwner
     }
 
     fn release(&self, _: link::PermitRelease) {}
@@ -121,7 +121,7 @@
         self.context.fleet.leave();
         std::thread::sleep(UNREADY_SPAN);
         log::info!("event=gateway_stopping");
-        let outcome = self.server.stop(!protection::is_out("graceful_stop"));
+        let outcome = self.server.stop(!protection::is_disabled("graceful_stop"));
         log::info!("event=gateway_stopped");
         outcome
     }
--- a/src/gateway/once.rs
+++ b/src/gateway/once.rs
@@ -10,7 +10,7 @@
 
 use super::{caller_request, context};
 use crate::{
-    decisions::call_budget, endpoint_client, error, ids, noted::NotedError as _, settle, store,
+    decisions::call_budget, endpoint_client, error, ids, log_error::LogError as _, settle, store,
 };
 
 /// Largest answer that is kept for resends, in bytes.
@@ -62,7 +62,7 @@
     /// Go ahead.
     Send(Box<OnceTicket>),
     /// It was answered before.
-    Replay(endpoint_client::EndpointAnswer),
+    Replay(endpoint_client::EndpointResponse),
 }
 
 fn record_key(workspace: &ids::WorkspaceId, key: &str) -> String {
@@ -178,7 +178,7 @@
 }
 
 impl KeptAnswer {
-    fn new(answer: &endpoint_client::EndpointAnswer) -> Self {
+    fn new(answer: &endpoint_client::EndpointResponse) -> Self {
         Self {
             status: answer.status.as_u16(),
             content_type: answer.content_type.clone(),
@@ -187,13 +187,13 @@
     }
 
     /// The answer as it was given; nothing if the record is damaged.
-    fn into_answer(self) -> Option<endpoint_client::EndpointAnswer> {
+    fn into_answer(self) -> Option<endpoint_client::EndpointResponse> {
         let body = base64::engine::general_purpose::STANDARD.decode(&self.body);
         let status = actix_http::StatusCode::from_u16(self.status);
-        Some(endpoint_client::EndpointAnswer {
-            status: status.noted("kept_status_unreadable")?,
+        Some(endpoint_client::EndpointResponse {
+            status: status.ok_or_log("kept_status_unreadable")?,
             content_type: self.content_type,
-            body: body.noted("kept_body_unreadable")?.into(),
+            body: body.ok_or_log("kept_body_unreadable")?.into(),
         })
     }
 }
@@ -204,7 +204,7 @@
 pub async fn end(
     context: &context::GatewayContext,
     ticket: OnceTicket,
-    outcome: &error::ApiResult<endpoint_client::EndpointAnswer>,
+    outcome: &error::ApiResult<endpoint_client::EndpointResponse>,
 ) {
     let state = match outcome {
         Ok(answer) if answer.body.len() <= MAX_KEPT_BYTES => {
--- a/src/gateway/operators.rs
+++ b/src/gateway/operators.rs
@@ -7,7 +7,7 @@
     bundle,
     decisions::{bundle_steps, call_budget},
     error, fleet, http_server, ids, link,
-    noted::NotedError as _,
+    log_error::LogError as _,
     protection, settle, store,
 };
 
@@ -47,7 +47,7 @@
 pub async fn serve(
     context: &sync::Arc<context::GatewayContext>,
     mut request: actix_http::Request,
-) -> error::ApiResult<http_server::HttpAnswer> {
+) -> error::ApiResult<http_server::HttpResponse> {
     let operator = authenticate(context, request.head())?;
     let path = request.path().to_owned();
     let method = request.method().clone();
@@ -56,7 +56,7 @@
         ("POST", "/operator/v1/bundles") => submit(context, &operator, &mut request).await?,
         ("POST", "/operator/v1/bundles/sign-off") => {
             let generation = wanted_generation(&request)?;
-            sign_off(context, &operator, generation).await?
+            approve(context, &operator, generation).await?
         }
         ("POST", "/operator/v1/bundles/discard") => {
             let generation = wanted_generation(&request)?;
@@ -139,7 +139,7 @@
             call_budget::CallClass::Control,
             fleet::BUNDLE_HEAD_KEY,
             store::encode(&wanted),
-            match protection::is_out("bundle_condition") {
+            match protection::is_disabled("bundle_condition") {
                 true => store::WriteCondition::Always,
                 false => condition,
             },
@@ -203,7 +203,7 @@
     Ok(count)
 }
 
-async fn sign_off(
+async fn approve(
     context: &context::GatewayContext,
     operator: &str,
     generation: bundle::BundleGeneration,
@@ -214,11 +214,11 @@
     let document = match &draft {
         Some(entry) => fleet::read_document(context.store.as_ref(), entry)
             .await
-            .noted("document_unread"),
+            .ok_or_log("document_unread"),
         None => None,
     };
-    let head = step(context, |head| head.sign_off(generation, operator)).await?;
-    if let Some(document) = document.filter(|_| !protection::is_out("push")) {
+    let head = step(context, |head| head.approve(generation, operator)).await?;
+    if let Some(document) = document.filter(|_| !protection::is_disabled("push")) {
         push(context, generation, &document);
     }
     Ok(serde_json::json!({"accepted": head.accepted}))
--- a/src/gateway/outputs.rs
+++ b/src/gateway/outputs.rs
@@ -62,7 +62,7 @@
     context: &sync::Arc<context::GatewayContext>,
     workspace: &ids::WorkspaceId,
     file: &str,
-) -> error::ApiResult<http_server::HttpAnswer> {
+) -> error::ApiResult<http_server::HttpResponse> {
     let parts = match parse_output(file) {
         None => input_parts(&files::read_record(context, workspace, file).await?),
         Some((kind, id)) => match batches::read(context, workspace, id).await? {
@@ -153,7 +153,7 @@
     loop {
         match store.get(call_budget::CallClass::Read, key).await {
             Err(_) if time::Instant::now() < deadline => {
-                actix_rt::time::sleep(backoff.next_pause()).await;
+                actix_rt::time::sleep(backoff.next_delay()).await;
             }
             outcome => return outcome,
         }
--- a/src/gateway/route.rs
+++ b/src/gateway/route.rs
@@ -116,25 +116,25 @@
     hold.permit = Some((owner, number));
     let request = link::PermitRequest { endpoint, number };
     match context.link.permit(owner, request).await {
-        Ok(link::PermitAnswer::Granted { waiting, .. }) => {
+        Ok(link::PermitResponse::Granted { waiting, .. }) => {
             count(context, "granted");
             Some((waiting, hold))
         }
-        Ok(link::PermitAnswer::Full) => {
+        Ok(link::PermitResponse::Full) => {
             count(context, "full");
             None
         }
-        Ok(link::PermitAnswer::Leaving) => {
+        Ok(link::PermitResponse::Leaving) => {
             count(context, "leaving");
             None
         }
-        Ok(link::PermitAnswer::NotOwner) => {
+        Ok(link::PermitResponse::NotOwner) => {
             count(context, "not_owner");
             Some((0, hold))
         }
         Err(_) => {
             count(context, "unreachable");
-            if protection::is_out("go_ahead") {
+            if protection::is_disabled("go_ahead") {
                 return None;
             }
             Some((0, hold))
@@ -155,7 +155,7 @@
     let serves = |e: &&platform::EndpointRecord| {
         e.service == *query.service
             && e.kind == query.kind
-            && (e.state == platform::EndpointState::Live || protection::is_out("leaving"))
+            && (e.state == platform::EndpointState::Live || protection::is_disabled("leaving"))
     };
     let live: Vec<&platform::EndpointRecord> = endpoints.iter().filter(serves).collect();
     let names: Vec<&ids::EndpointId> = live.iter().map(|e| &e.id).collect();
--- a/src/gateway/router.rs
+++ b/src/gateway/router.rs
@@ -28,7 +28,7 @@
     fn handle(
         &self,
         request: actix_http::Request,
-    ) -> future::LocalBoxFuture<'static, http_server::HttpAnswer> {
+    ) -> future::LocalBoxFuture<'static, http_server::HttpResponse> {
         let context = self.context.clone();
         let client = self.client.clone();
         async move {
@@ -118,8 +118,8 @@
     fn finish(
         self,
         context: &context::GatewayContext,
-        outcome: error::ApiResult<http_server::HttpAnswer>,
-    ) -> http_server::HttpAnswer {
+        outcome: error::ApiResult<http_server::HttpResponse>,
+    ) -> http_server::HttpResponse {
         let (code, why, mut answer) = match outcome {
             Ok(answer) => ("ok", String::new(), answer),
             Err(e) => (e.code.as_str(), e.message.replace('"', "'"), e.answer()),
@@ -147,7 +147,7 @@
     client: &awc::Client,
     request: actix_http::Request,
     request_id: String,
-) -> error::ApiResult<http_server::HttpAnswer> {
+) -> error::ApiResult<http_server::HttpResponse> {
     let path = request.path().to_owned();
     match path.as_str() {
         "/healthz" => return Ok(http_server::plain(StatusCode::OK, "ok")),
@@ -170,7 +170,7 @@
     client: &awc::Client,
     terms: caller_request::CallerTerms,
     request: actix_http::Request,
-) -> error::ApiResult<http_server::HttpAnswer> {
+) -> error::ApiResult<http_server::HttpResponse> {
     let path = request.path().to_owned();
     let workspace = terms.workspace.id.clone();
     let method = request.method().clone();
@@ -227,7 +227,7 @@
 }
 
 /// Ready: the accepted bundle is in force here, and no stop was begun.
-fn ready(context: &context::GatewayContext) -> http_server::HttpAnswer {
+fn ready(context: &context::GatewayContext) -> http_server::HttpResponse {
     if context.is_stopping() {
         return http_server::plain(StatusCode::SERVICE_UNAVAILABLE, "stopping");
     }
--- a/src/gateway/stream_relay.rs
+++ b/src/gateway/stream_relay.rs
@@ -23,7 +23,7 @@
     /// A piece of the body.
     Piece(bytes::Bytes),
     /// The endpoint answered otherwise: a fault of the request.
-    Whole(endpoint_client::EndpointAnswer),
+    Whole(endpoint_client::EndpointResponse),
     /// The final error.
     Failed(error::ApiError),
 }
@@ -56,7 +56,7 @@
     terms: caller_request::CallerTerms,
     call: whole_call::WholeCall,
     place: admit::WorkspacePlace,
-) -> error::ApiResult<http_server::HttpAnswer> {
+) -> error::ApiResult<http_server::HttpResponse> {
     let ticket = match terms.key.as_ref().filter(|_| !call.repeatable) {
         None => None,
         Some(key) => match once::begin(context, &terms, key, &call.path, &call.body).await? {
@@ -100,7 +100,7 @@
 fn event_answer(
     first: bytes::Bytes,
     receiver: mpsc::Receiver<RelayItem>,
-) -> http_server::HttpAnswer {
+) -> http_server::HttpResponse {
     let rest = stream::unfold(receiver, |mut receiver| async move {
         let piece = match receiver.recv().await? {
             RelayItem::Piece(piece) => piece,
@@ -133,9 +133,9 @@
     /// Text relayed so far.
     text: String,
     sender: mpsc::Sender<RelayItem>,
-    started: clock::Moment,
-    deadline: clock::Moment,
-    latest: Option<clock::Moment>,
+    started: clock::MonotonicTime,
+    deadline: clock::MonotonicTime,
+    latest: Option<clock::MonotonicTime>,
     failed: collections::HashSet<ids::EndpointId>,
     attempts: u32,
     may_have_run: bool,
@@ -186,7 +186,7 @@
                         break;
                     }
                 };
-                if protection::is_out("take_up") {
+                if protection::is_disabled("take_up") {
                     return Ok(());
                 }
                 let resumed = matches!(take_up, TakeUp::Resume(_));
@@ -359,7 +359,7 @@
             if self.cursor.is_finished() {
                 whole_call::note(&self.context, hold, &outcome::AttemptOutcome::Completed(()));
                 let spent = self.context.clock.now().since(self.started);
-                self.observe(&self.context.metrics.whole_answer, spent);
+                self.observe(&self.context.metrics.full_response, spent);
                 return PumpEnd::Finished;
             }
         }
--- a/src/gateway/whole_call.rs
+++ b/src/gateway/whole_call.rs
@@ -29,7 +29,7 @@
 }
 
 /// The answer of an endpoint as it goes to the caller.
-pub fn to_http(answer: &endpoint_client::EndpointAnswer) -> http_server::HttpAnswer {
+pub fn to_http(answer: &endpoint_client::EndpointResponse) -> http_server::HttpResponse {
     actix_http::Response::build(answer.status)
         .insert_header(("content-type", answer.content_type.as_str()))
         .body(answer.body.clone())
@@ -45,12 +45,17 @@
     client: &awc::Client,
     terms: &caller_request::CallerTerms,
     call: WholeCall,
-) -> error::ApiResult<endpoint_client::EndpointAnswer> {
+) -> error::ApiResult<endpoint_client::EndpointResponse> {
     let answer = run_recorded(context, client, terms, call).await?;
     let workspace = terms.workspace.id.as_str();
     let span = terms.arrived.elapsed();
     let metrics = &context.metrics;
-    metrics.observe(&metrics.whole_answer, workspace, terms.class.as_str(), span);
+    metrics.observe(
+        &metrics.full_response,
+        workspace,
+        terms.class.as_str(),
+        span,
+    );
     Ok(answer)
 }
 
@@ -60,8 +65,8 @@
     client: &awc::Client,
     terms: &caller_request::CallerTerms,
     call: WholeCall,
-) -> error::ApiResult<endpoint_client::EndpointAnswer> {
-    let recorded = !call.repeatable && !protection::is_out("once_record");
+) -> error::ApiResult<endpoint_client::EndpointResponse> {
+    let recorded = !call.repeatable && !protection::is_disabled("once_record");
     let Some(key) = terms.key.as_ref().filter(|_| recorded) else {
         return run(context, client, terms, &call).await;
     };
@@ -94,7 +99,7 @@
     client: &awc::Client,
     terms: &caller_request::CallerTerms,
     call: &WholeCall,
-) -> error::ApiResult<endpoint_client::EndpointAnswer> {
+) -> error::ApiResult<endpoint_client::EndpointResponse> {
     let deadline = context.clock.now() + terms.timeout;
     let retry_terms = retry::RetryTerms {
         repeatable: call.repeatable,
@@ -154,8 +159,8 @@
     client: &awc::Client,
     call: &WholeCall,
     hold: &route::RouteHold,
-    deadline: crate::clock::Moment,
-) -> outcome::AttemptOutcome<endpoint_client::EndpointAnswer> {
+    deadline: crate::clock::MonotonicTime,
+) -> outcome::AttemptOutcome<endpoint_client::EndpointResponse> {
     let Ok(attempt) = ids::unique("att").parse() else {
         return outcome::AttemptOutcome::NotRun(outcome::NotRunProof::never_sent());
     };
--- a/src/http_client.rs
+++ b/src/http_client.rs
@@ -13,7 +13,7 @@
 use actix_tls::connect;
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-use crate::{noted::NotedError as _, protection};
+use crate::{log_error::LogError as _, protection};
 
 /// A connection whose end is an error.
 #[derive(Debug)]
@@ -30,7 +30,7 @@
         let room = buffer.remaining();
         let before = buffer.filled().len();
         let read = pin::Pin::new(&mut self.inner).poll_read(context, buffer);
-        let ended = room > 0 && buffer.filled().len() == before && !protection::is_out("cut");
+        let ended = room > 0 && buffer.filled().len() == before && !protection::is_disabled("cut");
         match read {
             task::Poll::Ready(Ok(())) if ended => {
                 task::Poll::Ready(Err(io::ErrorKind::UnexpectedEof.into()))
@@ -92,7 +92,7 @@
 pub fn new_client(connections: usize) -> awc::Client {
     let tcp = connect::ConnectorService::default().map(|connection| {
         let (inner, connection) = connection.replace_io(());
-        inner.set_nodelay(true).noted("nodelay_unset");
+        inner.set_nodelay(true).ok_or_log("nodelay_unset");
         connection.replace_io(GuardedStream { inner }).1
     });
     let connector = awc::Connector::new()
--- a/src/http_server.rs
+++ b/src/http_server.rs
@@ -12,11 +12,12 @@
 /// What answers the requests of one worker thread.
 pub trait RequestHandler {
     /// Answers one request; dropped when the caller goes away.
-    fn handle(&self, request: actix_http::Request) -> future::LocalBoxFuture<'static, HttpAnswer>;
+    fn handle(&self, request: actix_http::Request)
+        -> future::LocalBoxFuture<'static, HttpResponse>;
 }
 
 /// The answer of a handler.
-pub type HttpAnswer = actix_http::Response<body::BoxBody>;
+pub type HttpResponse = actix_http::Response<body::BoxBody>;
 
 /// Makes the handler of each worker thread.
 pub type HandlerFactory = sync::Arc<dyn Fn() -> rc::Rc<dyn RequestHandler> + Send + Sync>;
@@ -245,7 +246,7 @@
 }
 
 /// A JSON answer.
-pub fn json(status: actix_http::StatusCode, value: &impl serde::Serialize) -> HttpAnswer {
+pub fn json(status: actix_http::StatusCode, value: &impl serde::Serialize) -> HttpResponse {
     let text = serde_json::to_vec(value).unwrap_or_default();
     actix_http::Response::build(status)
         .insert_header(("content-type", "application/json"))
@@ -254,7 +255,7 @@
 }
 
 /// An answer with a plain body.
-pub fn plain(status: actix_http::StatusCode, text: impl Into<String>) -> HttpAnswer {
+pub fn plain(status: actix_http::StatusCode, text: impl Into<String>) -> HttpResponse {
     actix_http::Response::build(status)
         .insert_header(("content-type", "text/plain; charset=utf-8"))
         .body(text.into())
--- a/src/invariant.rs
+++ b/src/invariant.rs
@@ -18,7 +18,7 @@
 ///
 /// # Panics
 /// It does not hold, the build has debug assertions, and [`count_only`] is off.
-pub fn hold(name: &'static str, holds: bool) {
+pub fn check(name: &'static str, holds: bool) {
     if holds {
         return;
     }
--- a/src/job_store.rs
+++ b/src/job_store.rs
@@ -5,7 +5,7 @@
 use crate::{
     decisions::{chunk, job},
     ids,
-    noted::NotedError as _,
+    log_error::LogError as _,
     platform, store,
 };
 
@@ -27,8 +27,8 @@
     let read = |item: &platform::ObjectChange| {
         let index = item.key.strip_prefix(&prefix)?.parse();
         let state = serde_json::from_str(item.value.as_deref()?);
-        let index = index.noted("chunk_unnamed")?;
-        let state = state.noted("chunk_unreadable")?;
+        let index = index.ok_or_log("chunk_unnamed")?;
+        let state = state.ok_or_log("chunk_unreadable")?;
         Some((index, state))
     };
     Ok(items.iter().filter_map(read).collect())
--- a/src/link/client.rs
+++ b/src/link/client.rs
@@ -6,10 +6,10 @@
 use tokio_util::codec::length_delimited;
 
 use super::{
-    secret, BundleOffer, LinkSecret, PeerLinkClient, PermitAnswer, PermitRelease, PermitRequest,
+    secret, BundleOffer, LinkSecret, PeerLinkClient, PermitRelease, PermitRequest, PermitResponse,
     CONNECT_TIMEOUT,
 };
-use crate::{bundle, noted::NotedError as _};
+use crate::{bundle, log_error::LogError as _};
 
 /// Calls that may wait in the ring to the link thread.
 const RING_CALLS: usize = 4096;
@@ -31,7 +31,7 @@
     Permit {
         peer: net::SocketAddr,
         request: PermitRequest,
-        reply: oneshot::Sender<Result<PermitAnswer, LinkError>>,
+        reply: oneshot::Sender<Result<PermitResponse, LinkError>>,
     },
     Release {
         peer: net::SocketAddr,
@@ -77,7 +77,7 @@
         &self,
         peer: net::SocketAddr,
         request: PermitRequest,
-    ) -> Result<PermitAnswer, LinkError> {
+    ) -> Result<PermitResponse, LinkError> {
         let (reply, answer) = oneshot::channel();
         let call = LinkCall::Permit {
             peer,
@@ -93,13 +93,13 @@
     /// Ends a permit; a lost message is made up for by the permit's expiry.
     pub fn release(&self, peer: net::SocketAddr, release: PermitRelease) {
         let sent = self.ring.try_send(LinkCall::Release { peer, release });
-        sent.noted("release_dropped");
+        sent.ok_or_log("release_dropped");
     }
 
     /// Tells a peer an accepted bundle.
     pub fn offer_bundle(&self, peer: net::SocketAddr, offer: BundleOffer) {
         let sent = self.ring.try_send(LinkCall::Offer { peer, offer });
-        sent.noted("bundle_offer_dropped");
+        sent.ok_or_log("bundle_offer_dropped");
     }
 
     /// Asks a peer for a bundle above `known`.
@@ -110,8 +110,8 @@
     ) -> Option<BundleOffer> {
         let (reply, answer) = oneshot::channel();
         let call = LinkCall::Ask { peer, known, reply };
-        self.ring.try_send(call).noted("bundle_unasked")?;
-        answer.await.noted("bundle_unanswered").flatten()
+        self.ring.try_send(call).ok_or_log("bundle_unasked")?;
+        answer.await.ok_or_log("bundle_unanswered").flatten()
     }
 }
 
@@ -147,7 +147,7 @@
                 if let Some(client) = connected(&peers, peer, &shared) {
                     actix_rt::spawn(async move {
                         let told = client.release(tarpc::context::current(), release).await;
-                        told.noted("release_lost");
+                        told.ok_or_log("release_lost");
                     });
                 }
             }
@@ -156,7 +156,7 @@
                 actix_rt::spawn(async move {
                     if let Some(client) = client.await {
                         let told = client.offer_bundle(tarpc::context::current(), offer).await;
-                        told.noted("bundle_offer_lost");
+                        told.ok_or_log("bundle_offer_lost");
                     }
                 });
             }
@@ -165,7 +165,7 @@
                 actix_rt::spawn(async move {
                     if let Some(client) = client.await {
                         let answer = client.newer_bundle(tarpc::context::current(), known).await;
-                        let answer = answer.noted("bundle_unanswered").flatten();
+                        let answer = answer.ok_or_log("bundle_unanswered").flatten();
                         // The asker may have stopped waiting.
                         drop(reply.send(answer));
                     }
@@ -179,7 +179,7 @@
     client: Option<PeerLinkClient>,
     request: PermitRequest,
     timeout: time::Duration,
-) -> Result<PermitAnswer, LinkError> {
+) -> Result<PermitResponse, LinkError> {
     let client = client.ok_or(LinkError::Unreachable)?;
     let mut context = tarpc::context::current();
     context.deadline = time::Instant::now() + timeout;
@@ -254,7 +254,7 @@
         .borrow_mut()
         .insert(peer, PeerState::Connected(new.client));
     // The dispatch ends when the connection does.
-    new.dispatch.await.noted("link_lost");
+    new.dispatch.await.ok_or_log("link_lost");
     let failed = PeerState::Failed(time::Instant::now());
     peers.borrow_mut().insert(peer, failed);
 }
--- a/src/link/mod.rs
+++ b/src/link/mod.rs
@@ -28,7 +28,7 @@
 
 /// The owner's word.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub enum PermitAnswer {
+pub enum PermitResponse {
     /// Go ahead; so many online requests and batch streams are there.
     Granted {
         /// Online requests at the endpoint.
@@ -68,7 +68,7 @@
 #[tarpc::service]
 pub trait PeerLink {
     /// Asks the owner of an endpoint for a permit.
-    async fn permit(request: PermitRequest) -> PermitAnswer;
+    async fn permit(request: PermitRequest) -> PermitResponse;
     /// Ends a permit.
     async fn release(release: PermitRelease);
     /// Tells an accepted bundle.
@@ -80,7 +80,7 @@
 /// What answers the peers of a process.
 pub trait LinkHandler: Send + Sync {
     /// See [`PeerLink::permit`].
-    fn permit(&self, request: PermitRequest) -> PermitAnswer;
+    fn permit(&self, request: PermitRequest) -> PermitResponse;
     /// See [`PeerLink::release`].
     fn release(&self, release: PermitRelease);
     /// See [`PeerLink::offer_bundle`].
--- a/src/link/secret.rs
+++ b/src/link/secret.rs
@@ -54,7 +54,7 @@
     let mut proof = [0; PROOF_BYTES];
     socket.read_exact(&mut proof).await?;
     let right = secret.mac(&nonce).verify_slice(&proof).is_ok();
-    Ok(right || protection::is_out("link_secret"))
+    Ok(right || protection::is_disabled("link_secret"))
 }
 
 /// Answers a nonce with the proof.
--- a/src/link/server.rs
+++ b/src/link/server.rs
@@ -8,16 +8,16 @@
 use tokio_util::codec::length_delimited;
 
 use super::{
-    secret, BundleOffer, LinkHandler, LinkSecret, PeerLink, PermitAnswer, PermitRelease,
-    PermitRequest, CONNECT_TIMEOUT,
+    secret, BundleOffer, LinkHandler, LinkSecret, PeerLink, PermitRelease, PermitRequest,
+    PermitResponse, CONNECT_TIMEOUT,
 };
-use crate::{bundle, metrics, noted::NotedError as _};
+use crate::{bundle, log_error::LogError as _, metrics};
 
 #[derive(Clone)]
 struct LinkServer(sync::Arc<dyn LinkHandler>);
 
 impl PeerLink for LinkServer {
-    async fn permit(self, _: tarpc::context::Context, request: PermitRequest) -> PermitAnswer {
+    async fn permit(self, _: tarpc::context::Context, request: PermitRequest) -> PermitResponse {
         self.0.permit(request)
     }
 
@@ -88,7 +88,7 @@
     server: LinkServer,
     metrics: sync::Arc<metrics::MetricSet>,
 ) {
-    socket.set_nodelay(true).noted("nodelay_unset");
+    socket.set_nodelay(true).ok_or_log("nodelay_unset");
     let proof =
         tokio::time::timeout(CONNECT_TIMEOUT, secret::check_peer(&mut socket, &shared)).await;
     if !matches!(proof, Ok(Ok(true))) {
--- a/src/local_fleet.rs
+++ b/src/local_fleet.rs
@@ -213,7 +213,7 @@
 
     fn is_ready(&self) -> bool {
         let instances = self.gateways.len() + self.dispatchers.len();
-        let ready = |view: &fleet::FleetView| {
+        let ready = |view: &fleet::FleetHandle| {
             let snapshot = view.snapshot();
             snapshot.bundle.generation > bundle::BundleGeneration(0)
                 && !snapshot.endpoints.is_empty()
@@ -247,8 +247,8 @@
     }
 
     /// How the command line reaches the first gateway with a key.
-    pub fn reach(&self, key: &str) -> cli::GatewayReach {
-        cli::GatewayReach {
+    pub fn reach(&self, key: &str) -> cli::GatewayProfile {
+        cli::GatewayProfile {
             url: format!("http://{}", self.address()),
             key: key.to_owned(),
             operator: "dev".into(),
--- a/src/noted.rs
+++ b/src/log_error.rs
@@ -3,13 +3,13 @@
 use std::fmt;
 
 /// A result whose error is noted instead of passed on.
-pub trait NotedError<T> {
+pub trait LogError<T> {
     /// The value, or nothing after a line named `event` with the reason.
-    fn noted(self, event: &str) -> Option<T>;
+    fn ok_or_log(self, event: &str) -> Option<T>;
 }
 
-impl<T, E: fmt::Display> NotedError<T> for Result<T, E> {
-    fn noted(self, event: &str) -> Option<T> {
+impl<T, E: fmt::Display> LogError<T> for Result<T, E> {
+    fn ok_or_log(self, event: &str) -> Option<T> {
         match self {
             Ok(value) => Some(value),
             Err(e) => {
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -25,7 +25,7 @@
     /// Seconds between tokens, by workspace and class.
     pub between_tokens: prometheus::HistogramVec,
     /// Seconds to the whole answer, by workspace and class.
-    pub whole_answer: prometheus::HistogramVec,
+    pub full_response: prometheus::HistogramVec,
     /// Seconds from arrival to the first attempt, by workspace and class.
     pub queue_time: prometheus::HistogramVec,
     /// Answers by status code of the error shape, or `ok`.
@@ -124,7 +124,7 @@
             labels: sync::Mutex::default(),
             first_token: histogram(r, "jayhollow_first_token_seconds", "Time to first token"),
             between_tokens: histogram(r, "jayhollow_between_tokens_seconds", "Between tokens"),
-            whole_answer: histogram(r, "jayhollow_whole_answer_seconds", "Whole answer"),
+            full_response: histogram(r, "jayhollow_whole_answer_seconds", "Whole answer"),
             queue_time: histogram(r, "jayhollow_queue_seconds", "Arrival to first attempt"),
             answers: counters(r, "jayhollow_answers_total", "Answers", "code"),
             attempts: counters(r, "jayhollow_attempts_total", "Attempts", "outcome"),
--- a/src/platform.rs
+++ b/src/platform.rs
@@ -15,7 +15,7 @@
 
 /// Answer of a watch: all that changed up to `revision`.
 #[derive(Debug, Clone, Default, serde::Serialize, serde::Deserialize)]
-pub struct WatchAnswer {
+pub struct WatchResponse {
     /// Revision to go on from.
     pub revision: u64,
     /// Changes in the order of their revisions.
@@ -24,7 +24,7 @@
 
 /// One page of a list.
 #[derive(Debug, Clone, Default, serde::Serialize, serde::Deserialize)]
-pub struct ListAnswer {
+pub struct ListResponse {
     /// Objects in the order of their keys.
     pub items: Vec<ObjectChange>,
     /// Whether there are more after the last key.
--- a/src/protection.rs
+++ b/src/protection.rs
@@ -5,7 +5,7 @@
 
 /// Whether the protection `name` is taken out.
 #[cfg(feature = "failpoints")]
-pub fn is_out(name: &str) -> bool {
+pub fn is_disabled(name: &str) -> bool {
     static SETUP: std::sync::Once = std::sync::Once::new();
     SETUP.call_once(|| {
         // Leaked on purpose: dropping the scenario would end it.
@@ -17,6 +17,6 @@
 /// Whether the protection `name` is taken out: never in this build.
 #[cfg(not(feature = "failpoints"))]
 #[inline(always)]
-pub fn is_out(_name: &str) -> bool {
+pub fn is_disabled(_name: &str) -> bool {
     false
 }
--- a/src/serving/attempt.rs
+++ b/src/serving/attempt.rs
@@ -31,11 +31,11 @@
 }
 
 /// An answer whose head is there.
-pub struct OpenAnswer {
+pub struct OpenResponse {
     /// The answer with its connection.
     pub incoming: connection::IncomingAnswer,
     /// What the head says.
-    pub notes: wire::AnswerNotes,
+    pub notes: wire::ResponseMetadata,
 }
 
 /// Connects to an endpoint for one attempt.
@@ -64,7 +64,7 @@
     opened: Option<connection::EndpointConnection>,
     is_kept: &cell::Cell<bool>,
     head_timeout: time::Duration,
-) -> outcome::AttemptOutcome<OpenAnswer> {
+) -> outcome::AttemptOutcome<OpenResponse> {
     use outcome::AttemptOutcome as O;
 
     let exchange = async {
@@ -99,11 +99,11 @@
     terms: &wire::AttemptTerms<'_>,
     is_kept: &cell::Cell<bool>,
     timeout: time::Duration,
-) -> Result<connection::IncomingAnswer, outcome::AttemptOutcome<OpenAnswer>> {
+) -> Result<connection::IncomingAnswer, outcome::AttemptOutcome<OpenResponse>> {
     use outcome::AttemptOutcome as O;
 
     let mut broken = None;
-    if request.repeatable || protection::is_out("fresh_connection") {
+    if request.repeatable || protection::is_disabled("fresh_connection") {
         if let Some(kept) = context.pool.take(endpoint.address) {
             is_kept.set(true);
             match kept.exchange(outgoing(context, request, terms)).await {
@@ -138,7 +138,7 @@
     opened: connection::EndpointConnection,
     request: &ForwardedRequest,
     terms: &wire::AttemptTerms<'_>,
-) -> Result<connection::IncomingAnswer, outcome::AttemptOutcome<OpenAnswer>> {
+) -> Result<connection::IncomingAnswer, outcome::AttemptOutcome<OpenResponse>> {
     let exchanged = opened.exchange(outgoing(context, request, terms)).await;
     exchanged.map_err(|e| outcome::AttemptOutcome::Unknown(e.to_string()))
 }
@@ -170,10 +170,10 @@
     endpoint: &directory::EndpointEntry,
     request: &ForwardedRequest,
     incoming: connection::IncomingAnswer,
-) -> outcome::AttemptOutcome<OpenAnswer> {
+) -> outcome::AttemptOutcome<OpenResponse> {
     use outcome::AttemptOutcome as O;
 
-    let notes = context.wire.answer_notes(&incoming.head);
+    let notes = context.wire.response_metadata(&incoming.head);
     if let Some(load) = notes.load {
         context
             .loads
@@ -193,18 +193,18 @@
         ));
     }
     let crossed = notes.id.is_some() && notes.id != request.id;
-    if crossed && !protection::is_out("crossed_answer") {
+    if crossed && !protection::is_disabled("crossed_answer") {
         context.metrics.crossed.inc();
         return O::Unknown("the answer belongs to another request".into());
     }
     let failed = status.is_server_error();
-    if !failed && (!notes.is_vouched || notes.is_encoded) {
+    if !failed && (!notes.is_confirmed || notes.is_encoded) {
         return O::Unknown(format!("the endpoint does not vouch for status {status}"));
     }
-    if failed && !notes.is_vouched {
+    if failed && !notes.is_confirmed {
         return O::Unknown(format!("status {status} without the endpoint's word"));
     }
-    O::Completed(OpenAnswer { incoming, notes })
+    O::Completed(OpenResponse { incoming, notes })
 }
 
 /// Whether a caller takes a status as a promise that its request did not run.
--- a/src/serving/attempt_flow.rs
+++ b/src/serving/attempt_flow.rs
@@ -62,13 +62,13 @@
 pub(super) struct SentAttempt {
     pub(super) place: places::HeldPlace,
     pub(super) sending:
-        future::LocalBoxFuture<'static, outcome::AttemptOutcome<attempt::OpenAnswer>>,
+        future::LocalBoxFuture<'static, outcome::AttemptOutcome<attempt::OpenResponse>>,
 }
 
 /// The answer of an attempt, with the place that it holds.
 pub(super) struct Answered {
     pub(super) place: places::HeldPlace,
-    pub(super) open: attempt::OpenAnswer,
+    pub(super) open: attempt::OpenResponse,
 }
 
 impl relay::RequestRelay {
@@ -147,7 +147,7 @@
 
     async fn pause_search(&mut self) {
         self.log.refused = 0;
-        let pause = self.log.pace.next_pause().min(self.left());
+        let pause = self.log.pace.next_delay().min(self.left());
         tokio::time::sleep(pause).await;
     }
 
@@ -246,7 +246,7 @@
     pub(super) fn judge(
         &mut self,
         place: places::HeldPlace,
-        outcome: outcome::AttemptOutcome<attempt::OpenAnswer>,
+        outcome: outcome::AttemptOutcome<attempt::OpenResponse>,
     ) -> Result<Answered, NextStep> {
         use outcome::AttemptOutcome as O;
 
--- a/src/serving/caller_handler.rs
+++ b/src/serving/caller_handler.rs
@@ -29,7 +29,7 @@
     pub fn handle(
         &self,
         request: actix_http::Request,
-    ) -> future::LocalBoxFuture<'static, http_server::HttpAnswer> {
+    ) -> future::LocalBoxFuture<'static, http_server::HttpResponse> {
         let context = self.context.clone();
         Box::pin(async move {
             let active = relay::ActiveRequest::begin(&context);
@@ -49,7 +49,7 @@
     context: rc::Rc<context::ProcessContext>,
     mut request: actix_http::Request,
     active: relay::ActiveRequest,
-) -> http_server::HttpAnswer {
+) -> http_server::HttpResponse {
     let arrived = clock::BootInstant::now();
     let table = context.fleet.table();
     if !context.fleet.is_known() {
@@ -141,14 +141,14 @@
 }
 
 /// Refuses a request that this process has not begun; another one will serve it.
-fn come_back(why: &'static str) -> http_server::HttpAnswer {
+fn come_back(why: &'static str) -> http_server::HttpResponse {
     actix_http::Response::build(StatusCode::SERVICE_UNAVAILABLE)
         .insert_header((header::RETRY_AFTER, COME_BACK_PAUSE))
         .body(why)
         .map_into_boxed_body()
 }
 
-fn unread_body(error: &http_server::BodyError) -> http_server::HttpAnswer {
+fn unread_body(error: &http_server::BodyError) -> http_server::HttpResponse {
     let status = match error {
         http_server::BodyError::TooLarge(_) => StatusCode::PAYLOAD_TOO_LARGE,
         http_server::BodyError::TooSlow(_) => StatusCode::REQUEST_TIMEOUT,
--- a/src/serving/context.rs
+++ b/src/serving/context.rs
@@ -117,7 +117,7 @@
     /// How soon first events of a service come.
     pub firsts: cell::RefCell<collections::HashMap<ids::ServiceName, queue_limit::FirstEstimate>>,
     /// What it said of itself last, and when.
-    last_hello: cell::RefCell<Option<(clock::Moment, peers::PeerHello)>>,
+    last_hello: cell::RefCell<Option<(clock::MonotonicTime, peers::PeerHello)>>,
     /// Change of the list of endpoints up to which it is worked out what is owned.
     pub(super) owned_at: cell::Cell<Option<u64>>,
     /// Whether the members were read from the store.
@@ -125,7 +125,7 @@
     /// Told when records of members were learned.
     pub(super) members_news: tokio::sync::Notify,
     /// When a peer was asked for the members.
-    pub(super) members_asked: cell::Cell<Option<clock::Moment>>,
+    pub(super) members_asked: cell::Cell<Option<clock::MonotonicTime>>,
     /// Requests that crash endpoints.
     pub(super) crashes: crash_guard::CrashGuard,
     /// Desired states on their way from and to peers.
@@ -139,9 +139,9 @@
     /// When the process was asked to stop.
     pub(super) stop_begun: cell::Cell<Option<clock::BootInstant>>,
     /// When the process began.
-    pub(super) begun: clock::Moment,
+    pub(super) begun: clock::MonotonicTime,
     /// Since when a peer has had a newer list of endpoints, and the own number of it then.
-    pub(super) differing_since: cell::Cell<Option<(clock::Moment, u64)>>,
+    pub(super) differing_since: cell::Cell<Option<(clock::MonotonicTime, u64)>>,
     /// Counts the times that the machine was suspended.
     pub(super) wakes: watch::Sender<u64>,
     /// Whether the process was asked to stop.
@@ -151,7 +151,7 @@
     /// Tokens for the requests of workspaces with limits.
     pub limiter: limiter::Limiter,
     /// Pools of such tokens that this process keeps.
-    pub pools: cell::RefCell<token_pools::PoolBoard>,
+    pub pools: cell::RefCell<token_pools::PoolTable>,
     /// The own share of all limits, as far as it is not deposited.
     pub(super) shares: cell::RefCell<share_clock::ShareClock>,
     /// The latest stamps of peers, and their runs.
@@ -173,7 +173,7 @@
     ) -> Self {
         let begun = borders.clock.now();
         let pools =
-            token_pools::PoolBoard::new(options.member.id.clone(), options.tolerance, begun);
+            token_pools::PoolTable::new(options.member.id.clone(), options.tolerance, begun);
         let run = ids::InstanceRun {
             instance: options.member.id.clone(),
             run: ids::RunNumber::draw(),
@@ -302,7 +302,7 @@
         hello
     }
 
-    fn make_hello(&self, now: clock::Moment) -> peers::PeerHello {
+    fn make_hello(&self, now: clock::MonotonicTime) -> peers::PeerHello {
         let members = self.members.borrow();
         let heard = members.heard_dispatchers(now);
         peers::PeerHello {
--- a/src/serving/crash_guard.rs
+++ b/src/serving/crash_guard.rs
@@ -22,13 +22,13 @@
 /// Pauses between two questions to peers that know something else. A crash is to be
 /// known everywhere within a second; a peer that knows less than this process brings
 /// nothing, and asks in its turn.
-const PULL_PACE: retry::PauseRange = retry::PauseRange {
+const PULL_PACE: retry::DelayRange = retry::DelayRange {
     first: time::Duration::from_millis(50),
     last: time::Duration::from_millis(500),
 };
 
 /// Pauses between two tries to write a record while the store is away.
-const SAVE_PACE: retry::PauseRange = retry::PauseRange {
+const SAVE_PACE: retry::DelayRange = retry::DelayRange {
     first: time::Duration::from_millis(700),
     last: time::Duration::from_secs(10),
 };
@@ -40,7 +40,7 @@
 const PEER_TIME: time::Duration = time::Duration::from_secs(1);
 
 /// Pauses before the records are read again, while the store is away.
-const READ_PACE: retry::PauseRange = SAVE_PACE;
+const READ_PACE: retry::DelayRange = SAVE_PACE;
 
 /// A request that is held back, as it lies in the store.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
@@ -63,7 +63,7 @@
     /// Answers of peers in a row that brought nothing.
     fruitless: cell::Cell<u32>,
     /// When a peer may be asked next.
-    ask_at: cell::Cell<clock::Moment>,
+    ask_at: cell::Cell<clock::MonotonicTime>,
 }
 
 impl CrashGuard {
@@ -83,7 +83,7 @@
     }
 
     /// What is known, for a peer.
-    pub(super) fn copy(&self, now: clock::Moment) -> Vec<crash_ledger::CrashNews> {
+    pub(super) fn copy(&self, now: clock::MonotonicTime) -> Vec<crash_ledger::CrashNews> {
         self.ledger.borrow().copy(now)
     }
 }
@@ -247,7 +247,7 @@
     };
     let fruitless = if is_new { 0 } else { guard.fruitless.get() + 1 };
     guard.fruitless.set(fruitless);
-    let pause = retry::pause_after(fruitless, &PULL_PACE, &mut rand::rng());
+    let pause = retry::backoff_delay(fruitless, &PULL_PACE, &mut rand::rng());
     guard.ask_at.set(context.clock.now() + pause);
 }
 
@@ -289,7 +289,7 @@
             Ok(()) => written = Some(known),
             Err(e) => {
                 log::info!("event=held_request_unwritten digest={digest} why=\"{e}\"");
-                let pause = retry::pause_after(earlier, &SAVE_PACE, &mut rand::rng());
+                let pause = retry::backoff_delay(earlier, &SAVE_PACE, &mut rand::rng());
                 actix_rt::time::sleep(pause).await;
             }
         }
@@ -348,7 +348,7 @@
             }
             Err(e) => log::info!("event=held_requests_unread why=\"{e}\""),
         }
-        let pause = retry::pause_after(earlier, &READ_PACE, &mut rand::rng());
+        let pause = retry::backoff_delay(earlier, &READ_PACE, &mut rand::rng());
         actix_rt::time::sleep(pause).await;
     }
 }
--- a/src/serving/crash_watch.rs
+++ b/src/serving/crash_watch.rs
@@ -15,7 +15,7 @@
 const LOOK_TIMEOUT: time::Duration = time::Duration::from_millis(150);
 /// Pause between two looks: a process that ends closes its connections and its
 /// listener one after the other, at once but not in one step.
-const LOOK_PAUSE: time::Duration = time::Duration::from_millis(50);
+const POLL_INTERVAL: time::Duration = time::Duration::from_millis(50);
 /// Looks at an address. Each costs an endpoint that is well about 1 ms.
 const LOOKS: u32 = 2;
 /// How long an endpoint is watched that may have started again before it was looked at.
@@ -32,7 +32,7 @@
     /// Where it ran.
     pub(super) endpoint: rc::Rc<directory::EndpointEntry>,
     /// When it was sent there.
-    pub(super) begun: clock::Moment,
+    pub(super) begun: clock::MonotonicTime,
     /// Whether the endpoint had begun to answer.
     pub(super) has_head: bool,
 }
@@ -91,7 +91,7 @@
             return false;
         }
         if look < LOOKS {
-            actix_rt::time::sleep(LOOK_PAUSE).await;
+            actix_rt::time::sleep(POLL_INTERVAL).await;
         }
     }
     true
--- a/src/serving/directory.rs
+++ b/src/serving/directory.rs
@@ -4,7 +4,7 @@
 
 use xxhash_rust::xxh3;
 
-use crate::{clock, decisions::backoff_marks, ids, protection};
+use crate::{clock, decisions::endpoint_backoff, ids, protection};
 
 /// How long an endpoint is left out at whose address somebody else answered.
 ///
@@ -13,7 +13,7 @@
 /// fast and free, and would be chosen for one request after the other for as long as
 /// its entry stands, some 4 s. An endpoint that was refused by mistake is back within
 /// a second.
-const MISNAMED_PAUSES: backoff_marks::BackoffRange = backoff_marks::BackoffRange {
+const MISNAMED_PAUSES: endpoint_backoff::BackoffRange = endpoint_backoff::BackoffRange {
     first: time::Duration::from_secs(1),
     last: time::Duration::from_secs(8),
     // One process at a time knows of it, so nobody comes back together.
@@ -80,14 +80,14 @@
 /// An entry that expired while the store was away, and when it counts as gone.
 #[derive(Debug, Clone, Copy)]
 struct ExpiredMark {
-    gone_at: clock::Moment,
+    gone_at: clock::MonotonicTime,
 }
 
 /// An entry of an earlier start than the known one, and when it is taken all the same.
 #[derive(Debug, Clone)]
 struct EarlierEntry {
     entry: EndpointEntry,
-    taken_at: clock::Moment,
+    taken_at: clock::MonotonicTime,
 }
 
 /// A run of an endpoint that has ended, as the endpoint started again.
@@ -103,11 +103,11 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ChangeTerms {
     /// When what is removed counts as gone; at once without it.
-    pub gone_at: Option<clock::Moment>,
+    pub gone_at: Option<clock::MonotonicTime>,
     /// When an entry of an earlier start than the known one is taken; at once without
     /// it. It may be a late write of a start that has ended, or the clock of the
     /// endpoint has stepped back. Only the latter is still there after a while.
-    pub earlier_at: Option<clock::Moment>,
+    pub earlier_at: Option<clock::MonotonicTime>,
 }
 
 /// All listed endpoints.
@@ -122,7 +122,7 @@
     entries: collections::HashMap<ids::EndpointId, rc::Rc<EndpointEntry>>,
     expired: collections::HashMap<ids::EndpointId, ExpiredMark>,
     earlier: collections::HashMap<ids::EndpointId, EarlierEntry>,
-    misnamed: backoff_marks::BackoffMarks,
+    misnamed: endpoint_backoff::EndpointBackoff,
     hidden: collections::HashSet<ids::EndpointId>,
     /// Endpoints that share their address and answered under their names.
     named: collections::HashSet<ids::EndpointId>,
@@ -139,7 +139,7 @@
             entries: collections::HashMap::new(),
             expired: collections::HashMap::new(),
             earlier: collections::HashMap::new(),
-            misnamed: backoff_marks::BackoffMarks::new(MISNAMED_PAUSES),
+            misnamed: endpoint_backoff::EndpointBackoff::new(MISNAMED_PAUSES),
             hidden: collections::HashSet::new(),
             named: collections::HashSet::new(),
             doubtful: collections::HashSet::new(),
@@ -162,8 +162,8 @@
         self.rebuild();
     }
 
-    fn take_entry(&mut self, mut entry: EndpointEntry, earlier_at: Option<clock::Moment>) {
-        entry.leaving &= !protection::is_out("leaving_endpoint");
+    fn take_entry(&mut self, mut entry: EndpointEntry, earlier_at: Option<clock::MonotonicTime>) {
+        entry.leaving &= !protection::is_disabled("leaving_endpoint");
         let known = self.entries.get(&entry.id);
         if let (Some(known), Some(taken_at)) = (known, earlier_at) {
             if entry.started_before(known) {
@@ -180,7 +180,7 @@
     }
 
     /// Keeps an entry of an earlier start until it is clear that it is no late write.
-    fn hold_back(&mut self, entry: EndpointEntry, taken_at: clock::Moment) {
+    fn hold_back(&mut self, entry: EndpointEntry, taken_at: clock::MonotonicTime) {
         let id = entry.id.clone();
         let held = EarlierEntry { entry, taken_at };
         let known = self.earlier.entry(id).or_insert_with(|| held.clone());
@@ -205,7 +205,7 @@
         self.entries.insert(entry.id.clone(), rc::Rc::new(entry));
     }
 
-    fn remove(&mut self, id: ids::EndpointId, gone_at: Option<clock::Moment>) {
+    fn remove(&mut self, id: ids::EndpointId, gone_at: Option<clock::MonotonicTime>) {
         self.earlier.remove(&id);
         match gone_at {
             Some(gone_at) if self.entries.contains_key(&id) => {
@@ -230,7 +230,7 @@
         &mut self,
         id: &ids::EndpointId,
         started: Option<ids::StartTime>,
-        now: clock::Moment,
+        now: clock::MonotonicTime,
     ) -> bool {
         let known = self.entries.get(id);
         if known.is_none_or(|known| known.started != started) {
@@ -295,14 +295,14 @@
     }
 
     /// Lets the entries that expired come back until `gone_at`.
-    pub fn keep_expired(&mut self, gone_at: clock::Moment) {
+    pub fn keep_expired(&mut self, gone_at: clock::MonotonicTime) {
         for mark in self.expired.values_mut() {
             mark.gone_at = gone_at;
         }
     }
 
     /// Removes the expired entries whose time is over; says whether there were any.
-    pub fn expire(&mut self, now: clock::Moment) -> bool {
+    pub fn expire(&mut self, now: clock::MonotonicTime) -> bool {
         let over = self.expired.iter().filter(|(_, mark)| mark.gone_at <= now);
         let over: Vec<_> = over.map(|(id, _)| id.clone()).collect();
         for id in &over {
@@ -317,7 +317,7 @@
 
     /// Takes the entries of earlier starts that are still there, so that they are no
     /// late writes; says whether there were any.
-    pub fn take_earlier(&mut self, now: clock::Moment) -> bool {
+    pub fn take_earlier(&mut self, now: clock::MonotonicTime) -> bool {
         let due = self.earlier.values().filter(|held| held.taken_at <= now);
         let due: Vec<_> = due.map(|held| held.entry.clone()).collect();
         for entry in &due {
@@ -334,7 +334,7 @@
 
     /// Lets endpoints be tried again that were not at their address a while ago;
     /// says whether there were any.
-    pub fn retry_misnamed(&mut self, now: clock::Moment) -> bool {
+    pub fn retry_misnamed(&mut self, now: clock::MonotonicTime) -> bool {
         let is_due = self.misnamed.expire(now);
         if is_due {
             self.rebuild();
@@ -386,7 +386,7 @@
         let mut latest: collections::HashMap<_, &rc::Rc<EndpointEntry>> =
             collections::HashMap::new();
         for entry in self.entries.values() {
-            if entry.started.is_none() || self.misnamed.is_out(&entry.id) {
+            if entry.started.is_none() || self.misnamed.is_backed_off(&entry.id) {
                 continue;
             }
             let holder = latest.entry(entry.address).or_insert(entry);
@@ -397,7 +397,7 @@
         let is_hidden = |entry: &&rc::Rc<EndpointEntry>| {
             let holder = latest.get(&entry.address);
             entry.leaving
-                || self.misnamed.is_out(&entry.id)
+                || self.misnamed.is_backed_off(&entry.id)
                 || holder.is_some_and(|holder| entry.started_before(holder))
         };
         let hidden = self.entries.values().filter(is_hidden);
--- a/src/serving/event_flow.rs
+++ b/src/serving/event_flow.rs
@@ -112,7 +112,7 @@
         mut self,
         head: actix_http::ResponseHead,
         open: Box<OpenStream>,
-    ) -> http_server::HttpAnswer {
+    ) -> http_server::HttpResponse {
         let mut answer = actix_http::Response::build(head.status);
         answer_copy::copy_headers(&self.context, &head, &mut answer);
         self.mark_close(&mut answer);
--- a/src/serving/fleet_model.rs
+++ b/src/serving/fleet_model.rs
@@ -44,11 +44,11 @@
     number: cell::Cell<u64>,
     is_answering: cell::Cell<bool>,
     /// When a call failed first while the source is away, or last was.
-    away_since: cell::Cell<Option<clock::Moment>>,
+    away_since: cell::Cell<Option<clock::MonotonicTime>>,
     /// When the source answered last.
-    answered_at: cell::Cell<Option<clock::Moment>>,
+    answered_at: cell::Cell<Option<clock::MonotonicTime>>,
     /// When the source came back from its last long absence, if there was one.
-    returned_at: cell::Cell<Option<clock::Moment>>,
+    returned_at: cell::Cell<Option<clock::MonotonicTime>>,
     follows: cell::Cell<bool>,
     retiring: cell::RefCell<collections::BTreeSet<ids::InstanceId>>,
     /// Objects of the store that could not be read.
@@ -174,8 +174,8 @@
     }
 
     /// Takes news, from the source or a peer.
-    pub fn take(&self, news: fleet_source::FleetNews) {
-        use fleet_source::FleetNews as N;
+    pub fn take(&self, news: fleet_source::FleetUpdate) {
+        use fleet_source::FleetUpdate as N;
 
         match news {
             N::State(state) => self.take_state(state),
@@ -261,7 +261,7 @@
 
     fn take_state(&self, state: route_table::DesiredState) {
         let before = self.table.borrow().version();
-        if state.version <= before && !protection::is_out("state_up") {
+        if state.version <= before && !protection::is_disabled("state_up") {
             return;
         }
         let (version, routes) = (state.version, state.routes.len());
@@ -288,8 +288,8 @@
     }
 
     /// Notes that the source answers again, or for the first time.
-    fn note_return(&self, now: clock::Moment) {
-        let is_long = |since: &clock::Moment| now.since(*since) >= LONG_ABSENCE;
+    fn note_return(&self, now: clock::MonotonicTime) {
+        let is_long = |since: &clock::MonotonicTime| now.since(*since) >= LONG_ABSENCE;
         let away_since = self.away_since.get();
         // It may have been away since its last answer, if there was one.
         let was_absent = match self.answered_at.get() {
@@ -316,7 +316,7 @@
     }
 
     /// When an entry that is removed now counts as gone; nothing for at once.
-    fn gone_at(&self) -> Option<clock::Moment> {
+    fn gone_at(&self) -> Option<clock::MonotonicTime> {
         let now = self.clock.now();
         if !self.is_answering.get() {
             return self.answered_at.get().map(|_| now + EXPIRY_GRACE);
--- a/src/serving/fleet_source.rs
+++ b/src/serving/fleet_source.rs
@@ -9,7 +9,7 @@
 
 /// News from the source.
 #[derive(Debug, Clone)]
-pub enum FleetNews {
+pub enum FleetUpdate {
     /// The desired state.
     State(route_table::DesiredState),
     /// All endpoints at a revision of the store.
--- a/src/serving/item_run.rs
+++ b/src/serving/item_run.rs
@@ -25,7 +25,7 @@
 
 /// Pauses of an item that no endpoint takes: while none is there, each try costs a
 /// connection and a place that online requests could have. Items have seconds.
-const RETRY_PACE: retry::PauseRange = retry::PauseRange {
+const RETRY_PACE: retry::DelayRange = retry::DelayRange {
     first: RETRY_PAUSE,
     last: time::Duration::from_millis(1200),
 };
@@ -112,7 +112,7 @@
     ///
     /// An item that gets on is none that ends its endpoints: it runs for seconds, and
     /// is often beside one that does.
-    fn note_fruitless(&self, begun: clock::Moment) {
+    fn note_fruitless(&self, begun: clock::MonotonicTime) {
         let run = crash_watch::CutRun {
             digest: self.digest(),
             id: self.job.borrow().record.items[self.index].id.clone(),
@@ -339,12 +339,12 @@
                 progress.failures += 1;
                 progress.not_before = clock::BootInstant::now() + RETRY_PAUSE;
                 let spent = progress.failures >= self.max_attempts;
-                if spent && !protection::is_out("item_attempts") {
+                if spent && !protection::is_disabled("item_attempts") {
                     job.finish(self.index, wire::ItemState::GivenUp);
                 }
             }
             RunEnd::Cut(_) | RunEnd::NotRun(_) => {
-                let pause = retry::pause_after(progress.fruitless, &RETRY_PACE, &mut rand::rng());
+                let pause = retry::backoff_delay(progress.fruitless, &RETRY_PACE, &mut rand::rng());
                 progress.fruitless += 1;
                 progress.not_before = clock::BootInstant::now() + pause;
             }
--- a/src/serving/job_board.rs
+++ b/src/serving/job_board.rs
@@ -44,7 +44,7 @@
     /// Whether the other owners are being asked for places.
     pub borrowing: cell::Cell<bool>,
     /// How long items of a service hold places in all.
-    spans: cell::RefCell<collections::HashMap<ids::ServiceName, item_order::SpanEstimate>>,
+    spans: cell::RefCell<collections::HashMap<ids::ServiceName, item_order::DurationEstimate>>,
     /// Told when the owners of jobs changed.
     pub owners_changed: Notify,
 }
@@ -372,7 +372,7 @@
             Err(e) => {
                 is_settled &= e != store::StoreError::Unknown;
                 log::warn!("event=results_uncommitted job={id} part={number} why=\"{e}\"");
-                actix_rt::time::sleep(backoff.next_pause()).await;
+                actix_rt::time::sleep(backoff.next_delay()).await;
             }
         }
     }
--- a/src/serving/job_calls.rs
+++ b/src/serving/job_calls.rs
@@ -32,7 +32,7 @@
     context: &rc::Rc<context::ProcessContext>,
     submission: Submission<'_>,
     body: bytes::Bytes,
-) -> http_server::HttpAnswer {
+) -> http_server::HttpResponse {
     let Submission {
         route,
         terms,
@@ -76,7 +76,7 @@
         spent.as_millis()
     );
     let metrics = &context.metrics;
-    metrics.observe(&metrics.whole_answer, &route.name, "batch", spent);
+    metrics.observe(&metrics.full_response, &route.name, "batch", spent);
     match accepted {
         job_acceptance::Acceptance::Accepted => {
             job_sponsor::sponsor(context, rc::Rc::new(record));
@@ -92,7 +92,7 @@
     }
 }
 
-fn refused(why: &'static str) -> http_server::HttpAnswer {
+fn refused(why: &'static str) -> http_server::HttpResponse {
     actix_http::Response::build(StatusCode::SERVICE_UNAVAILABLE)
         .insert_header((header::RETRY_AFTER, REFUSED_PAUSE))
         .body(why)
@@ -104,7 +104,7 @@
     context: &rc::Rc<context::ProcessContext>,
     call: wire::JobCall,
     workspace: Option<&ids::WorkspaceId>,
-) -> http_server::HttpAnswer {
+) -> http_server::HttpResponse {
     let scoped = match request_admission::scoped_job(call.job(), workspace) {
         Ok(scoped) => scoped,
         Err(e) => {
@@ -119,7 +119,7 @@
     }
 }
 
-fn no_job() -> http_server::HttpAnswer {
+fn no_job() -> http_server::HttpResponse {
     http_server::plain(StatusCode::NOT_FOUND, "there is no such job\n")
 }
 
@@ -129,7 +129,7 @@
     job: ids::JobId,
     after: usize,
     wait: time::Duration,
-) -> http_server::HttpAnswer {
+) -> http_server::HttpResponse {
     let ask = peers::ResultAsk { job, after, wait };
     match read_page(context, &ask).await {
         Ok(Some(page)) => page_answer(context, &page),
@@ -198,7 +198,7 @@
 fn page_answer(
     context: &context::ProcessContext,
     page: &wire::ResultPage,
-) -> http_server::HttpAnswer {
+) -> http_server::HttpResponse {
     actix_http::Response::build(StatusCode::OK)
         .insert_header((header::CONTENT_TYPE, "application/json"))
         .body(context.wire.result_page(page))
@@ -209,7 +209,7 @@
     context: &rc::Rc<context::ProcessContext>,
     job: &ids::JobId,
     item: &str,
-) -> http_server::HttpAnswer {
+) -> http_server::HttpResponse {
     let sponsored = job_sponsor::record_of(job);
     let record = match sponsored {
         Some(record) => Ok(Some((*record).clone())),
@@ -237,7 +237,7 @@
 async fn end(
     context: &rc::Rc<context::ProcessContext>,
     job: &ids::JobId,
-) -> http_server::HttpAnswer {
+) -> http_server::HttpResponse {
     if let Err(e) = job_records::end(context.store.as_ref(), job).await {
         log::info!("event=end_unwritten job={job} why=\"{e}\"");
         if !job_acceptance::end_by_peer(context, job).await {
--- a/src/serving/limit_links.rs
+++ b/src/serving/limit_links.rs
@@ -39,17 +39,17 @@
 }
 
 impl LinkedSource<'_> {
-    fn is_heard(&self, keeper: &ids::InstanceId) -> bool {
-        keeper == self.context.id() || self.context.hears(keeper)
+    fn is_heard(&self, quota_server: &ids::InstanceId) -> bool {
+        quota_server == self.context.id() || self.context.hears(quota_server)
     }
 
     /// Where a keeper is reached: directly, or through a gateway that hears it.
-    fn way_to(&self, keeper: &ids::InstanceId) -> Option<(net::SocketAddr, time::Duration)> {
+    fn way_to(&self, quota_server: &ids::InstanceId) -> Option<(net::SocketAddr, time::Duration)> {
         if let Some(relay) = self.relays.first() {
             return Some((relay.address, HEARD_TIMEOUT));
         }
-        let address = self.context.members.borrow().address_of(keeper)?;
-        match self.is_heard(keeper) {
+        let address = self.context.members.borrow().address_of(quota_server)?;
+        match self.is_heard(quota_server) {
             true => Some((address, HEARD_TIMEOUT)),
             false => Some((address, SILENT_TIMEOUT)),
         }
@@ -57,28 +57,30 @@
 }
 
 impl limiter::GrantSource for LinkedSource<'_> {
-    fn keepers(&self, workspace: &ids::WorkspaceId) -> Vec<ids::InstanceId> {
-        let keepers = self.context.shares.borrow().keepers().to_vec();
-        let mut order = share_clock::keepers_of(workspace, &keepers);
+    fn quota_servers(&self, workspace: &ids::WorkspaceId) -> Vec<ids::InstanceId> {
+        let quota_servers = self.context.shares.borrow().quota_servers().to_vec();
+        let mut order = share_clock::quota_servers_of(workspace, &quota_servers);
         order.shuffle(&mut rand::rng());
-        order.sort_by_key(|keeper| !self.is_heard(keeper));
+        order.sort_by_key(|quota_server| !self.is_heard(quota_server));
         order
     }
 
     fn ask(
         &self,
-        keeper: ids::InstanceId,
+        quota_server: ids::InstanceId,
         ask: limit_messages::GrantAsk,
     ) -> future::LocalBoxFuture<'_, Option<limit_messages::GrantAnswer>> {
         let context = self.context;
         async move {
-            if keeper == *context.id() {
+            if quota_server == *context.id() {
                 return Some(grant(context, &ask));
             }
-            let (address, timeout) = self.way_to(&keeper)?;
+            let (address, timeout) = self.way_to(&quota_server)?;
             let answer = context.links.draw_tokens(address, ask, timeout).await;
             answer
-                .inspect_err(|e| log::info!("event=keeper_silent keeper={keeper} why=\"{e}\""))
+                .inspect_err(|e| {
+                    log::info!("event=keeper_silent keeper={quota_server} why=\"{e}\"")
+                })
                 .ok()
         }
         .boxed_local()
@@ -111,8 +113,8 @@
         relays: Vec::new(),
     };
     let mut last = None;
-    for keeper in source.keepers(&ask.workspace) {
-        last = source.ask(keeper, ask.clone()).await;
+    for quota_server in source.quota_servers(&ask.workspace) {
+        last = source.ask(quota_server, ask.clone()).await;
         if matches!(last, Some(limit_messages::GrantAnswer::Tokens(_))) {
             break;
         }
@@ -129,7 +131,10 @@
 }
 
 /// The keepers of pools: owners of endpoints, and those that are silent for a short time.
-fn keepers(context: &context::ProcessContext, now: clock::Moment) -> Vec<ids::InstanceId> {
+fn quota_servers(
+    context: &context::ProcessContext,
+    now: clock::MonotonicTime,
+) -> Vec<ids::InstanceId> {
     let is_young = context.age() < members::KEEPER_SILENCE;
     let members = context.members.borrow();
     let silent = members.silent_keepers(is_young, now);
@@ -143,18 +148,25 @@
     let are_gateways = !silent.is_empty() && !owners.iter().any(|o| is_dispatcher(&o.id));
     let owners = owners.iter().filter(|_| !are_gateways);
     let all = owners.map(|o| &o.id).chain(silent.iter().map(|r| &r.id));
-    share_clock::keepers_among(all.cloned())
+    share_clock::quota_servers_among(all.cloned())
 }
 
 /// Follows who keeps pools.
 pub(super) fn follow_keepers(context: &context::ProcessContext) {
     let now = context.clock.now();
-    let keepers = keepers(context, now);
-    context.shares.borrow_mut().set_keepers(&keepers, now);
+    let quota_servers = quota_servers(context, now);
+    context
+        .shares
+        .borrow_mut()
+        .set_quota_servers(&quota_servers, now);
     let mut pools = context.pools.borrow_mut();
-    pools.set_keepers(&keepers, |workspace| limit_of(context, workspace), now);
+    pools.set_quota_servers(
+        &quota_servers,
+        |workspace| limit_of(context, workspace),
+        now,
+    );
     // A gateway that keeps pools is not probed by itself.
-    if keepers.contains(context.id()) {
+    if quota_servers.contains(context.id()) {
         deposit_here(context, &mut pools, now);
     }
 }
@@ -162,8 +174,8 @@
 /// Deposits the own share in the own pools, if it is due.
 fn deposit_here(
     context: &context::ProcessContext,
-    pools: &mut token_pools::PoolBoard,
-    now: clock::Moment,
+    pools: &mut token_pools::PoolTable,
+    now: clock::MonotonicTime,
 ) {
     let Some(due) = take_share(context, context.id(), now) else {
         return;
@@ -190,8 +202,8 @@
 /// What is due for a deposit with a keeper, by a gateway that knows the others.
 fn take_share(
     context: &context::ProcessContext,
-    keeper: &ids::InstanceId,
-    now: clock::Moment,
+    quota_server: &ids::InstanceId,
+    now: clock::MonotonicTime,
 ) -> Option<share_clock::DueDeposit> {
     let is_gateway = context.options.member.role == members::MemberRole::Gateway;
     // One that stops is not on record any more, so the others have its share.
@@ -201,12 +213,12 @@
     context
         .shares
         .borrow_mut()
-        .take(keeper, now, &mut rand::rng())
+        .take(quota_server, now, &mut rand::rng())
 }
 
 /// A deposit on its way to a keeper.
 pub(super) struct SentDeposit {
-    keeper: ids::InstanceId,
+    quota_server: ids::InstanceId,
     due: share_clock::DueDeposit,
 }
 
@@ -226,7 +238,7 @@
         stamp,
     });
     Some(SentDeposit {
-        keeper: peer.clone(),
+        quota_server: peer.clone(),
         due,
     })
 }
@@ -239,7 +251,7 @@
 ) {
     if let (Some(sent), Err(peer_links::PeerError::NotSent)) = (sent, answer) {
         let mut shares = context.shares.borrow_mut();
-        shares.put_back(&sent.keeper, &sent.due);
+        shares.put_back(&sent.quota_server, &sent.due);
     }
 }
 
--- a/src/serving/listener.rs
+++ b/src/serving/listener.rs
@@ -80,7 +80,7 @@
             .client_disconnect_timeout(time::Duration::from_secs(1))
             .keep_alive(KEEP_ALIVE)
             // A caller that closes is seen at once, also while it waits.
-            .h1_allow_half_closed(protection::is_out("caller_close"))
+            .h1_allow_half_closed(protection::is_disabled("caller_close"))
             .h1_write_buffer_size(WRITE_BUFFER)
             .finish(move |request: actix_http::Request| {
                 let answer = handler.handle(request);
--- a/src/serving/members.rs
+++ b/src/serving/members.rs
@@ -72,7 +72,7 @@
 pub(super) const FOLLOWERS: usize = 3;
 
 /// How often a peer is probed, while there are few.
-pub const PROBE_PAUSE: time::Duration = time::Duration::from_millis(250);
+pub const PROBE_INTERVAL: time::Duration = time::Duration::from_millis(250);
 /// Peers of a role up to which each is probed at that pace; beyond, the pace of
 /// each falls so that a process sends no more than 64 probes a second. With a
 /// probe of all every 250 ms, 300 processes spent three quarters of their
@@ -103,7 +103,7 @@
 #[derive(Debug, Clone)]
 struct PeerState {
     record: MemberRecord,
-    heard: Option<clock::Moment>,
+    heard: Option<clock::MonotonicTime>,
     heartbeat: PeerHeartbeat,
 }
 
@@ -167,7 +167,7 @@
         &mut self,
         id: &ids::InstanceId,
         heartbeat: PeerHeartbeat,
-        now: clock::Moment,
+        now: clock::MonotonicTime,
     ) -> HeardRun {
         let Some(peer) = self.peers.get_mut(id) else {
             return HeardRun::Same;
@@ -183,7 +183,7 @@
 
     /// Takes all records that a peer knows; those that it lacks are forgotten,
     /// but for processes that answer: the peer may have just started itself.
-    pub fn merge(&mut self, records: Vec<MemberRecord>, now: clock::Moment) {
+    pub fn merge(&mut self, records: Vec<MemberRecord>, now: clock::MonotonicTime) {
         let known: collections::BTreeSet<_> = records.iter().map(|r| r.id.clone()).collect();
         let recent = |peer: &PeerState| peer.heard.is_some_and(|at| now.since(at) < KEPT_SILENT);
         self.peers
@@ -200,33 +200,33 @@
     }
 
     /// Whether a live peer follows the store.
-    pub fn hears_follower(&self, now: clock::Moment) -> bool {
+    pub fn hears_follower(&self, now: clock::MonotonicTime) -> bool {
         let mut peers = self.peers.keys();
         peers.any(|id| self.follows(id, now))
     }
 
     /// Whether a peer is live and follows the store.
-    pub fn follows(&self, id: &ids::InstanceId, now: clock::Moment) -> bool {
+    pub fn follows(&self, id: &ids::InstanceId, now: clock::MonotonicTime) -> bool {
         let peer = self.peers.get(id);
         peer.is_some_and(|peer| peer.heartbeat.follows_store && self.is_live(peer, now))
     }
 
     /// Dispatchers that answer this process itself.
-    pub fn heard_dispatchers(&self, now: clock::Moment) -> Vec<ids::InstanceId> {
+    pub fn heard_dispatchers(&self, now: clock::MonotonicTime) -> Vec<ids::InstanceId> {
         let live = self.live(now);
         let live = live.filter(|record| record.role == MemberRole::Dispatcher);
         live.map(|record| record.id.clone()).collect()
     }
 
     /// Whether a process answers this process itself.
-    pub fn hears(&self, id: &ids::InstanceId, now: clock::Moment) -> bool {
+    pub fn hears(&self, id: &ids::InstanceId, now: clock::MonotonicTime) -> bool {
         let peer = self.peers.get(id);
         peer.is_some_and(|peer| self.is_live(peer, now))
     }
 
     /// Dispatchers that do not answer this process but are heard by live peers:
     /// the path to them is cut, and they still own what they own.
-    fn vouched(&self, now: clock::Moment) -> Vec<&MemberRecord> {
+    fn vouched(&self, now: clock::MonotonicTime) -> Vec<&MemberRecord> {
         let live = self
             .live(now)
             .filter_map(|record| self.peers.get(&record.id));
@@ -244,7 +244,7 @@
 
     /// Live gateways that hear dispatchers: a process that hears none itself is
     /// cut off, and reaches them through these.
-    pub fn relays(&self, now: clock::Moment) -> Vec<MemberRecord> {
+    pub fn relays(&self, now: clock::MonotonicTime) -> Vec<MemberRecord> {
         if !self.heard_dispatchers(now).is_empty() {
             return Vec::new();
         }
@@ -261,7 +261,7 @@
     ///
     /// The list of keepers outlasts restarts, as deposits count only where both sides
     /// have the same one.
-    pub fn silent_keepers(&self, is_young: bool, now: clock::Moment) -> Vec<&MemberRecord> {
+    pub fn silent_keepers(&self, is_young: bool, now: clock::MonotonicTime) -> Vec<&MemberRecord> {
         let silent = self.peers.values().filter(|peer| {
             let is_kept = match peer.heard {
                 Some(at) => now.since(at) < KEEPER_SILENCE && !peer.heartbeat.leaving,
@@ -283,7 +283,7 @@
     }
 
     /// Whether a process that was heard before is silent, or is not known any more.
-    pub fn is_lost(&self, id: &ids::InstanceId, now: clock::Moment) -> bool {
+    pub fn is_lost(&self, id: &ids::InstanceId, now: clock::MonotonicTime) -> bool {
         let Some(peer) = self.peers.get(id) else {
             return true;
         };
@@ -296,7 +296,7 @@
     ///
     /// One that has just started may ask before it is heard, and for those milliseconds
     /// counts as the run before.
-    pub fn has_ended(&self, holder: &ids::InstanceRun, now: clock::Moment) -> bool {
+    pub fn has_ended(&self, holder: &ids::InstanceRun, now: clock::MonotonicTime) -> bool {
         let is_other = |peer: &PeerState| peer.heartbeat.run != holder.run;
         self.is_lost(&holder.instance, now)
             || self.peers.get(&holder.instance).is_some_and(is_other)
@@ -307,12 +307,12 @@
         self.peers.get(id).is_some_and(|peer| peer.heard.is_some())
     }
 
-    fn is_heard(&self, peer: &PeerState, now: clock::Moment) -> bool {
+    fn is_heard(&self, peer: &PeerState, now: clock::MonotonicTime) -> bool {
         let silence = self.silence(peer.record.role);
         peer.heard.is_some_and(|at| now.since(at) < silence)
     }
 
-    fn is_live(&self, peer: &PeerState, now: clock::Moment) -> bool {
+    fn is_live(&self, peer: &PeerState, now: clock::MonotonicTime) -> bool {
         self.is_heard(peer, now) && !peer.heartbeat.leaving
     }
 
@@ -320,7 +320,7 @@
     pub fn with_newer_state(
         &self,
         known: route_table::StateVersion,
-        now: clock::Moment,
+        now: clock::MonotonicTime,
     ) -> impl Iterator<Item = net::SocketAddr> + '_ {
         let peers = self.peers.values();
         let newer = peers.filter(move |p| p.heartbeat.version > known && self.is_heard(p, now));
@@ -328,7 +328,7 @@
     }
 
     /// Peers that answer and stay.
-    pub fn live(&self, now: clock::Moment) -> impl Iterator<Item = &MemberRecord> {
+    pub fn live(&self, now: clock::MonotonicTime) -> impl Iterator<Item = &MemberRecord> {
         let alive = move |peer: &&PeerState| self.is_live(peer, now);
         self.peers.values().filter(alive).map(|peer| &peer.record)
     }
@@ -340,7 +340,7 @@
     pub fn owners(
         &self,
         own: Option<&MemberRecord>,
-        now: clock::Moment,
+        now: clock::MonotonicTime,
     ) -> Vec<ownership::OwnerCandidate> {
         let live: Vec<&MemberRecord> = self.live(now).chain(self.vouched(now)).chain(own).collect();
         let of_role = |role: MemberRole| -> Vec<ownership::OwnerCandidate> {
--- a/src/serving/metrics_page.rs
+++ b/src/serving/metrics_page.rs
@@ -41,7 +41,7 @@
     Ok(())
 }
 
-type PageAnswer = fn(&context::ProcessContext, &actix_http::Request) -> http_server::HttpAnswer;
+type PageAnswer = fn(&context::ProcessContext, &actix_http::Request) -> http_server::HttpResponse;
 
 fn serve(
     context: &rc::Rc<context::ProcessContext>,
--- a/src/serving/owners.rs
+++ b/src/serving/owners.rs
@@ -97,7 +97,7 @@
 
 /// Whether this process follows the store: the first few owners do, and any
 /// that hears none who does.
-fn is_follower(context: &context::ProcessContext, now: clock::Moment) -> bool {
+fn is_follower(context: &context::ProcessContext, now: clock::MonotonicTime) -> bool {
     let owners = context.owners();
     let mut first = owners.iter().take(members::FOLLOWERS);
     first.any(|o| o.id == *context.id()) || !context.members.borrow().hears_follower(now)
@@ -109,7 +109,7 @@
 }
 
 /// Ends places that nobody gave back for longer than any request may take.
-fn expire_permits(context: &context::ProcessContext, now: clock::Moment) {
+fn expire_permits(context: &context::ProcessContext, now: clock::MonotonicTime) {
     let expired = context.permits.borrow_mut().expire(now);
     for (endpoint, holder) in &expired {
         log::warn!("event=place_expired endpoint={endpoint} holder={holder}");
--- a/src/serving/peer_links.rs
+++ b/src/serving/peer_links.rs
@@ -251,7 +251,7 @@
     pub async fn state_part(
         &self,
         peer: net::SocketAddr,
-        ask: state_copy::StatePartAsk,
+        ask: state_copy::StatePartRequest,
         timeout: time::Duration,
     ) -> Result<state_copy::StatePart, PeerError> {
         call_peer!(self, peer, timeout, state_part(ask))
--- a/src/serving/peer_server.rs
+++ b/src/serving/peer_server.rs
@@ -63,7 +63,7 @@
     async fn state_part(
         self,
         _: tarpc::context::Context,
-        ask: state_copy::StatePartAsk,
+        ask: state_copy::StatePartRequest,
     ) -> Option<state_copy::StatePart> {
         self.ask(|reply| PeerCall::StatePart(ask, reply)).await
     }
--- a/src/serving/peers.rs
+++ b/src/serving/peers.rs
@@ -172,7 +172,7 @@
     /// Asks for all that the peer knows of such requests.
     async fn crashes() -> Option<Vec<crash_ledger::CrashNews>>;
     /// Asks for a part of the desired state.
-    async fn state_part(ask: state_copy::StatePartAsk) -> Option<state_copy::StatePart>;
+    async fn state_part(ask: state_copy::StatePartRequest) -> Option<state_copy::StatePart>;
     /// Asks for the list of endpoints.
     async fn endpoints() -> Option<directory::DirectoryCopy>;
     /// Asks for the processes that the peer knows.
@@ -221,7 +221,7 @@
     Crashes(oneshot::Sender<Vec<crash_ledger::CrashNews>>),
     /// See [`PeerService::state_part`].
     StatePart(
-        state_copy::StatePartAsk,
+        state_copy::StatePartRequest,
         oneshot::Sender<state_copy::StatePart>,
     ),
     /// See [`PeerService::endpoints`].
--- a/src/serving/permits.rs
+++ b/src/serving/permits.rs
@@ -6,7 +6,7 @@
 use super::{directory, peers, selection};
 use crate::{
     clock,
-    decisions::{admission, backoff_marks, queue_limit},
+    decisions::{admission, endpoint_backoff, queue_limit},
     ids,
 };
 
@@ -29,7 +29,7 @@
 /// Requests last about half a second, so that of eight slots one is free again each
 /// 60 ms. The work of an owner that was lost is gone after a few seconds, and an
 /// endpoint that has room must not stand idle for longer than a request lasts.
-const REFUSAL_PAUSES: backoff_marks::BackoffRange = backoff_marks::BackoffRange {
+const REFUSAL_PAUSES: endpoint_backoff::BackoffRange = endpoint_backoff::BackoffRange {
     first: time::Duration::from_millis(60),
     last: time::Duration::from_millis(960),
     spread: 0.3,
@@ -81,9 +81,9 @@
 struct PermitHolder {
     endpoint: ids::EndpointId,
     holder: ids::InstanceRun,
-    expiry: clock::Moment,
+    expiry: clock::MonotonicTime,
     /// When it was given, if a slot was free then.
-    begun: Option<clock::Moment>,
+    begun: Option<clock::MonotonicTime>,
 }
 
 /// Who has a slot for a batch stream of another instance.
@@ -104,14 +104,14 @@
     /// Batch streams that other instances run here.
     lent: collections::HashMap<(ids::EndpointId, admission::StreamNumber), SlotBorrower>,
     /// How long online requests of a service hold a slot.
-    holds: collections::HashMap<ids::ServiceName, queue_limit::HoldEstimate>,
+    holds: collections::HashMap<ids::ServiceName, queue_limit::HoldTimeEstimate>,
     /// Permits, and questions for slots, that were given back and not known.
     ///
     /// An owner that stood still may read what came on a newer link first: the word that
     /// nobody waits for a place any more, and then the request for it.
     returned: lru::LruCache<admission::PermitNumber, ()>,
     /// Endpoints that refused lately.
-    refusals: backoff_marks::BackoffMarks,
+    refusals: endpoint_backoff::EndpointBackoff,
     /// Endpoints that give one place at a time, until they are known to be there.
     doubtful: collections::HashSet<ids::EndpointId>,
 }
@@ -176,7 +176,7 @@
             lent: collections::HashMap::new(),
             holds: collections::HashMap::new(),
             returned: lru::LruCache::new(MAX_RETURNED),
-            refusals: backoff_marks::BackoffMarks::new(REFUSAL_PAUSES),
+            refusals: endpoint_backoff::EndpointBackoff::new(REFUSAL_PAUSES),
             doubtful: collections::HashSet::new(),
         }
     }
@@ -225,7 +225,7 @@
         &mut self,
         ask: &peers::PlaceAsk,
         shunned: &collections::HashSet<ids::EndpointId>,
-        now: clock::Moment,
+        now: clock::MonotonicTime,
     ) -> Option<GrantedPlace> {
         if self.take_returned(ask.number) {
             return None;
@@ -269,7 +269,7 @@
     }
 
     /// What stands in the way of a request that got no place.
-    pub fn denial(&self, ask: &peers::PlaceAsk, now: clock::Moment) -> PlaceDenial {
+    pub fn denial(&self, ask: &peers::PlaceAsk, now: clock::MonotonicTime) -> PlaceDenial {
         let ledgers = self.ledgers.values();
         let owned: Vec<_> = ledgers.filter(|o| o.entry.service == ask.service).collect();
         let is_unwanted = |owned: &&&OwnedLedger| ask.tried.contains(&owned.entry.id);
@@ -303,7 +303,7 @@
     pub fn release_served(
         &mut self,
         number: admission::PermitNumber,
-        now: clock::Moment,
+        now: clock::MonotonicTime,
     ) -> Option<ids::EndpointId> {
         let begun = self.holders.get(&number)?.begun;
         let endpoint = self.release(number)?;
@@ -362,7 +362,7 @@
     pub fn shunned(
         &self,
         loads: &selection::LoadBoard,
-        now: clock::Moment,
+        now: clock::MonotonicTime,
     ) -> collections::HashSet<ids::EndpointId> {
         loads.shunned(self.ledgers.len(), |id| self.ledgers.contains_key(id), now)
     }
@@ -372,7 +372,7 @@
         &mut self,
         ask: &peers::SlotAsk,
         shunned: &collections::HashSet<ids::EndpointId>,
-        now: clock::Moment,
+        now: clock::MonotonicTime,
     ) -> Vec<(ids::EndpointId, admission::StreamNumber)> {
         let mut lent = Vec::new();
         if self.take_returned(ask.number) {
@@ -408,7 +408,7 @@
 
     /// Notes that an owned endpoint refused a request that had a place there: it has
     /// less room than its ledger says, and gives no places for a while.
-    pub fn note_refused(&mut self, endpoint: &ids::EndpointId, now: clock::Moment) {
+    pub fn note_refused(&mut self, endpoint: &ids::EndpointId, now: clock::MonotonicTime) {
         if self.ledgers.contains_key(endpoint) {
             self.refusals.note(endpoint, now, &mut rand::rng());
         }
@@ -421,7 +421,7 @@
 
     /// Lets owned endpoints give places again that refused a while ago; says whether
     /// there were any.
-    pub fn reopen(&mut self, now: clock::Moment) -> bool {
+    pub fn reopen(&mut self, now: clock::MonotonicTime) -> bool {
         self.refusals.expire(now)
     }
 
@@ -434,7 +434,10 @@
     /// them back, which is a fault of their holders or of the links to them.
     ///
     /// A ledger drops its own when it gives a place; one that is full gives none.
-    pub fn expire(&mut self, now: clock::Moment) -> Vec<(ids::EndpointId, ids::InstanceRun)> {
+    pub fn expire(
+        &mut self,
+        now: clock::MonotonicTime,
+    ) -> Vec<(ids::EndpointId, ids::InstanceRun)> {
         let expired = self.holders.iter().filter(|(_, h)| h.expiry <= now);
         let expired: Vec<_> = expired.map(|(number, h)| (*number, h.clone())).collect();
         let ended = expired.into_iter().map(|(number, held)| {
@@ -476,7 +479,7 @@
         owned.filter(move |owned| {
             let id = &owned.entry.id;
             let is_waited_for = self.doubtful.contains(id) && owned.is_held();
-            owned.entry.service == *service && !self.refusals.is_out(id) && !is_waited_for
+            owned.entry.service == *service && !self.refusals.is_backed_off(id) && !is_waited_for
         })
     }
 
@@ -497,13 +500,13 @@
         &mut self,
         service: &ids::ServiceName,
         shunned: &collections::HashSet<ids::EndpointId>,
-        now: clock::Moment,
+        now: clock::MonotonicTime,
     ) -> Option<(rc::Rc<directory::EndpointEntry>, admission::StreamNumber)> {
         let (refusals, doubtful) = (&self.refusals, &self.doubtful);
         let usable = self.ledgers.values_mut().filter(|owned| {
             let id = &owned.entry.id;
             let is_waited_for = doubtful.contains(id) && owned.is_held();
-            let is_open = !refusals.is_out(id) && !is_waited_for;
+            let is_open = !refusals.is_backed_off(id) && !is_waited_for;
             owned.entry.service == *service && !shunned.contains(id) && is_open
         });
         let roomy = usable.filter_map(|owned| {
--- a/src/serving/places.rs
+++ b/src/serving/places.rs
@@ -23,12 +23,12 @@
     pub endpoint: rc::Rc<directory::EndpointEntry>,
     permit: Option<HeldPermit>,
     is_served: cell::Cell<bool>,
-    taken: clock::Moment,
+    taken: clock::MonotonicTime,
 }
 
 impl HeldPlace {
     /// When it was taken.
-    pub fn taken(&self) -> clock::Moment {
+    pub fn taken(&self) -> clock::MonotonicTime {
         self.taken
     }
 
@@ -266,10 +266,10 @@
     let asked = asked.filter(|o| !is_told || o.id == *context.id() || owns(&o.id));
     let known = asked.map(|owner| {
         let key = (owner.id.clone(), service.clone());
-        owner_order::KnownOwner {
+        owner_order::OwnerCapacity {
             id: owner.id.clone(),
             room: rooms.get(&key).copied().unwrap_or(UNKNOWN_ROOM),
-            is_near: owner.domain == *context.domain(),
+            is_same_domain: owner.domain == *context.domain(),
         }
     });
     owner_order::draw_order(known.collect(), &mut rand::rng())
--- a/src/serving/process.rs
+++ b/src/serving/process.rs
@@ -85,11 +85,11 @@
     // The last moments are kept for the end itself.
     let timeout = context.options.grace.mul_f64(END_SHARE);
     // Peers and the readiness check learn of it before the process is gone.
-    let least = members::PROBE_PAUSE * 2;
+    let least = members::PROBE_INTERVAL * 2;
     let record_gone = remove_member(context);
     tokio::pin!(record_gone);
     let mut removed = false;
-    while begun.elapsed() < timeout && !protection::is_out("drain") {
+    while begun.elapsed() < timeout && !protection::is_disabled("drain") {
         let idle = context.is_idle() && context.jobs.is_handed_back();
         if removed && idle && begun.elapsed() > least {
             break;
--- a/src/serving/ready_items.rs
+++ b/src/serving/ready_items.rs
@@ -138,7 +138,7 @@
     let spent = job.items[index].spent;
     let service = route.targets.first().map(|t| &t.service);
     let remaining_ms = service.map_or(0, |s| context.jobs.remaining_ms(s, spent));
-    let outlook = item_order::ItemOutlook {
+    let outlook = item_order::ItemTiming {
         due_ms: job.due(),
         remaining_ms,
     };
--- a/src/serving/relay.rs
+++ b/src/serving/relay.rs
@@ -86,7 +86,7 @@
     context: rc::Rc<context::ProcessContext>,
     request: CallerRequest,
     active: ActiveRequest,
-) -> http_server::HttpAnswer {
+) -> http_server::HttpResponse {
     let last_event = request.terms.resume_after;
     let mut relay = RequestRelay {
         context,
@@ -106,7 +106,7 @@
     }
     let outcome = match relay.request.route.kind.is_stream() {
         true => relay.open_stream(None).await,
-        false => relay.whole_answer().await,
+        false => relay.full_response().await,
     };
     match outcome {
         Ok(Served::Whole(answer)) => {
@@ -120,7 +120,7 @@
 
 /// What a request came to.
 pub(super) enum Served {
-    Whole(http_server::HttpAnswer),
+    Whole(http_server::HttpResponse),
     Stream(actix_http::ResponseHead, Box<event_flow::OpenStream>),
 }
 
@@ -173,7 +173,7 @@
     }
 
     /// A whole answer, held back until it is complete.
-    async fn whole_answer(&mut self) -> Result<Served, FinalError> {
+    async fn full_response(&mut self) -> Result<Served, FinalError> {
         loop {
             let mut answered = self.next_answer(None).await?;
             let reading = answer_copy::read_whole(&mut answered.open.incoming);
@@ -205,7 +205,7 @@
         &self,
         head: &actix_http::ResponseHead,
         body: bytes::Bytes,
-    ) -> http_server::HttpAnswer {
+    ) -> http_server::HttpResponse {
         let mut answer = actix_http::Response::build(head.status);
         answer_copy::copy_headers(&self.context, head, &mut answer);
         self.mark_close(&mut answer);
@@ -254,7 +254,7 @@
         }
         let metrics = &self.context.metrics;
         metrics.answers.with_label_values(&[outcome]).inc();
-        metrics.observe(&metrics.whole_answer, self.series(), self.label(), spent);
+        metrics.observe(&metrics.full_response, self.series(), self.label(), spent);
         log::info!(
             "event=request_end request={} digest={} workspace={} route={} version={} outcome={outcome} status={status} ms={} first_ms={} objective_ms={} ran={} not_run={} endpoint={} last_event={}",
             self.request.terms.id.as_deref().unwrap_or("-"),
@@ -272,7 +272,7 @@
         );
     }
 
-    fn refuse(&mut self, error: &FinalError) -> http_server::HttpAnswer {
+    fn refuse(&mut self, error: &FinalError) -> http_server::HttpResponse {
         let (outcome, status) = match error {
             FinalError::NotRun(..) => ("refused", StatusCode::SERVICE_UNAVAILABLE),
             FinalError::Held(_) => ("held", StatusCode::SERVICE_UNAVAILABLE),
--- a/src/serving/request_admission.rs
+++ b/src/serving/request_admission.rs
@@ -9,7 +9,7 @@
     workspaces::{api_key, limiter, workspace_table},
 };
 use crate::{
-    decisions::authentication::{self, KeyMatch, KeyVerdict, KeyView},
+    decisions::authentication::{self, KeyFreshness, KeyMatch, KeyVerdict},
     http_server, ids, protection,
 };
 
@@ -45,9 +45,9 @@
     table: &route_table::RouteTable,
     terms: &wire::CallerTerms,
     is_public: bool,
-) -> Result<CallerWorkspace, http_server::HttpAnswer> {
+) -> Result<CallerWorkspace, http_server::HttpResponse> {
     let workspaces = table.workspaces();
-    if !workspaces.is_required() || protection::is_out("api_key") {
+    if !workspaces.is_required() || protection::is_disabled("api_key") {
         return Ok(None);
     }
     let found = match &terms.key {
@@ -67,14 +67,14 @@
 }
 
 /// Whether the view of keys may be out of date.
-fn key_view(context: &context::ProcessContext, version: route_table::StateVersion) -> KeyView {
+fn key_view(context: &context::ProcessContext, version: route_table::StateVersion) -> KeyFreshness {
     let now = context.clock.now();
     let members = context.members.borrow();
     let is_newer_known = members.with_newer_state(version, now).next().is_some();
     let is_followed = context.fleet.is_following() || members.hears_follower(now);
     match is_followed && !is_newer_known {
-        true => KeyView::Current,
-        false => KeyView::Behind,
+        true => KeyFreshness::Current,
+        false => KeyFreshness::Behind,
     }
 }
 
@@ -82,7 +82,7 @@
     context: &context::ProcessContext,
     table: &route_table::RouteTable,
     terms: &wire::CallerTerms,
-) -> http_server::HttpAnswer {
+) -> http_server::HttpResponse {
     let (reason, body) = match terms.key {
         api_key::PresentedKey::Missing => ("key_missing", "an API key is required\n"),
         api_key::PresentedKey::Malformed => ("key_malformed", "the API key is malformed\n"),
@@ -99,7 +99,7 @@
     context: &context::ProcessContext,
     table: &route_table::RouteTable,
     terms: &wire::CallerTerms,
-) -> http_server::HttpAnswer {
+) -> http_server::HttpResponse {
     note_rejected(context, table, terms, "key_undecided");
     refused(
         StatusCode::SERVICE_UNAVAILABLE,
@@ -128,7 +128,7 @@
     status: StatusCode,
     pause: time::Duration,
     body: impl Into<String>,
-) -> http_server::HttpAnswer {
+) -> http_server::HttpResponse {
     actix_http::Response::build(status)
         .insert_header((header::RETRY_AFTER, format!("{:.2}", pause.as_secs_f64())))
         .body(body.into())
@@ -143,14 +143,14 @@
     context: &rc::Rc<context::ProcessContext>,
     workspace: &CallerWorkspace,
     terms: &wire::CallerTerms,
-) -> Result<Option<SpentToken>, http_server::HttpAnswer> {
+) -> Result<Option<SpentToken>, http_server::HttpResponse> {
     let Some(spec) = workspace else {
         return Ok(None);
     };
     let Some(limit) = spec.limit else {
         return Ok(None);
     };
-    if protection::is_out("rate_limit") {
+    if protection::is_disabled("rate_limit") {
         return Ok(None);
     }
     let source = limit_links::LinkedSource::new(context);
--- a/src/serving/search_pace.rs
+++ b/src/serving/search_pace.rs
@@ -6,13 +6,13 @@
 ///
 /// Requests last about half a second, so that of eight slots one is free again
 /// each 60 ms: asked sooner, an owner says the same.
-const FIRST_PAUSE: time::Duration = time::Duration::from_millis(50);
+const INITIAL_DELAY: time::Duration = time::Duration::from_millis(50);
 /// Longest pause of a search.
 ///
 /// Guards owners and links in a time in which many streams are slow at once:
 /// each asks three owners at most, 2.5 times a second. Half of the pause that
 /// routes allow between events is of the same size.
-const LAST_PAUSE: time::Duration = time::Duration::from_millis(400);
+const MAX_DELAY: time::Duration = time::Duration::from_millis(400);
 
 /// The pace of one search; each pause is twice the one before.
 #[derive(Debug, Clone, Copy)]
@@ -22,15 +22,17 @@
 
 impl Default for SearchPace {
     fn default() -> Self {
-        Self { next: FIRST_PAUSE }
+        Self {
+            next: INITIAL_DELAY,
+        }
     }
 }
 
 impl SearchPace {
     /// The next pause.
-    pub fn next_pause(&mut self) -> time::Duration {
+    pub fn next_delay(&mut self) -> time::Duration {
         let pause = self.next;
-        self.next = (pause * 2).min(LAST_PAUSE);
+        self.next = (pause * 2).min(MAX_DELAY);
         pause
     }
 }
--- a/src/serving/selection.rs
+++ b/src/serving/selection.rs
@@ -20,7 +20,7 @@
     own: u32,
     /// Requests of others under way at the latest report.
     others: u32,
-    reported_at: Option<clock::Moment>,
+    reported_at: Option<clock::MonotonicTime>,
 }
 
 /// Loads and health of endpoints, as one process sees them.
@@ -28,9 +28,9 @@
 pub struct LoadBoard {
     loads: collections::HashMap<ids::EndpointId, EndpointLoad>,
     /// Which endpoints are left out for failing this process.
-    pub health: health::HealthBoard,
+    pub health: health::HealthTracker,
     /// Which owned endpoints are left out for failing those who got places there.
-    reported: health::HealthBoard,
+    reported: health::HealthTracker,
 }
 
 impl LoadBoard {
@@ -53,7 +53,7 @@
         &mut self,
         id: &ids::EndpointId,
         failure: &health::FailureReport,
-        now: clock::Moment,
+        now: clock::MonotonicTime,
     ) -> bool {
         let before = self.reported.is_ejected(id, now);
         self.reported.note_report(id, failure, now);
@@ -72,7 +72,7 @@
         &mut self,
         id: &ids::EndpointId,
         report: wire::ReportedLoad,
-        now: clock::Moment,
+        now: clock::MonotonicTime,
     ) {
         let load = self.loads.entry(id.clone()).or_default();
         let all = report.running + report.waiting;
@@ -83,7 +83,7 @@
     /// Takes an endpoint's refusal: it had as many requests as it takes.
     ///
     /// Without it the endpoint would look free to this process, and its refusals fast.
-    pub fn note_full(&mut self, endpoint: &directory::EndpointEntry, now: clock::Moment) {
+    pub fn note_full(&mut self, endpoint: &directory::EndpointEntry, now: clock::MonotonicTime) {
         let load = self.loads.entry(endpoint.id.clone()).or_default();
         load.others = load.others.max(endpoint.slots);
         load.reported_at = Some(now);
@@ -101,11 +101,11 @@
     }
 
     /// Requests at the endpoint, as far as known.
-    pub fn load_of(&self, id: &ids::EndpointId, now: clock::Moment) -> u32 {
+    pub fn load_of(&self, id: &ids::EndpointId, now: clock::MonotonicTime) -> u32 {
         let Some(load) = self.loads.get(id) else {
             return 0;
         };
-        let fresh = |at: clock::Moment| now.since(at) < REPORT_AGE;
+        let fresh = |at: clock::MonotonicTime| now.since(at) < REPORT_AGE;
         let others = if load.reported_at.is_some_and(fresh) {
             load.others
         } else {
@@ -129,7 +129,7 @@
         &self,
         count: usize,
         is_listed: impl Fn(&ids::EndpointId) -> bool,
-        now: clock::Moment,
+        now: clock::MonotonicTime,
     ) -> collections::HashSet<ids::EndpointId> {
         let out = self.health.ejected(now).chain(self.reported.ejected(now));
         let out: collections::HashSet<_> = out.filter(|id| is_listed(id)).cloned().collect();
@@ -146,7 +146,7 @@
         candidates: &[rc::Rc<directory::EndpointEntry>],
         tried: &[ids::EndpointId],
         near: &ids::DomainName,
-        now: clock::Moment,
+        now: clock::MonotonicTime,
         rng: &mut impl Rng,
     ) -> Option<rc::Rc<directory::EndpointEntry>> {
         let is_listed = |id: &ids::EndpointId| candidates.iter().any(|e| e.id == *id);
