--- a/src/serving/slow_attempt.rs
+++ b/src/serving/slow_attempt.rs
@@ -210,7 +210,7 @@
     }
 
     /// Whether an attempt goes on with the request.
-    fn goes_on(&self, told: &outcome::AttemptOutcome<attempt::OpenAnswer>) -> bool {
+    fn goes_on(&self, told: &outcome::AttemptOutcome<attempt::OpenResponse>) -> bool {
         let outcome::AttemptOutcome::Completed(open) = told else {
             return false;
         };
@@ -222,7 +222,7 @@
     fn note_not_moved(
         &mut self,
         place: places::HeldPlace,
-        told: outcome::AttemptOutcome<attempt::OpenAnswer>,
+        told: outcome::AttemptOutcome<attempt::OpenResponse>,
     ) {
         if let Ok(answered) = self.judge(place, told) {
             let status = answered.open.incoming.head.status;
@@ -286,7 +286,7 @@
                 .set(Some(search_pace::SearchPace::default()));
             return;
         };
-        let pause = pace.next_pause().min(relay.left());
+        let pause = pace.next_delay().min(relay.left());
         relay.log.slow_pace.set(Some(pace));
         tokio::time::sleep(pause).await;
     }
--- a/src/serving/state_copy.rs
+++ b/src/serving/state_copy.rs
@@ -48,7 +48,7 @@
 
 /// A request for a part of the desired state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub enum StatePartAsk {
+pub enum StatePartRequest {
     /// The first part of the newest state.
     First,
     /// The part of a copy that begins at this byte.
@@ -149,10 +149,10 @@
     /// The state cannot be encoded.
     pub fn part(
         &self,
-        ask: StatePartAsk,
+        ask: StatePartRequest,
         newest: &route_table::DesiredState,
     ) -> Result<StatePart, CopyError> {
-        if let StatePartAsk::Next(id, offset) = ask {
+        if let StatePartRequest::Next(id, offset) = ask {
             if let Some(copy) = self.find(|copy| copy.id == id) {
                 return Ok(copy.part(offset));
             }
@@ -211,10 +211,10 @@
 
 impl IncomingState {
     /// What to ask for next.
-    pub fn next_ask(&self) -> StatePartAsk {
+    pub fn next_ask(&self) -> StatePartRequest {
         match self.copy {
-            Some(copy) => StatePartAsk::Next(copy, self.bytes.len()),
-            None => StatePartAsk::First,
+            Some(copy) => StatePartRequest::Next(copy, self.bytes.len()),
+            None => StatePartRequest::First,
         }
     }
 
--- a/src/serving/state_transfer.rs
+++ b/src/serving/state_transfer.rs
@@ -157,7 +157,7 @@
             self.parts,
             self.begun.elapsed().as_millis()
         );
-        let news = fleet_source::FleetNews::State(state);
+        let news = fleet_source::FleetUpdate::State(state);
         self.context.fleet.take(news);
     }
 
--- a/src/serving/suspension.rs
+++ b/src/serving/suspension.rs
@@ -11,18 +11,18 @@
 
 /// How often it is looked whether the machine was suspended. A request whose caller has
 /// left meanwhile holds its place for so long at most.
-const LOOK_PAUSE: time::Duration = time::Duration::from_millis(100);
+const POLL_INTERVAL: time::Duration = time::Duration::from_millis(100);
 
 /// Notices suspensions, and has all that is outdated by them looked at again.
 pub(super) async fn follow(context: rc::Rc<context::ProcessContext>) {
     let mut gauge = clock::SuspensionGauge::default();
     loop {
-        actix_rt::time::sleep(LOOK_PAUSE).await;
+        actix_rt::time::sleep(POLL_INTERVAL).await;
         let Some(span) = gauge.take() else { continue };
         log::warn!("event=suspended ms={}", span.as_millis());
         context.wakes.send_modify(|count| *count += 1);
         // Watches that were under way may have ended at the store without a word.
-        context.fleet.take(fleet_source::FleetNews::Returned);
+        context.fleet.take(fleet_source::FleetUpdate::Returned);
         context.members_news.notify_one();
     }
 }
--- a/src/serving/views.rs
+++ b/src/serving/views.rs
@@ -150,7 +150,7 @@
         // New peers are probed at once: the first second after a start is spent
         // without owners until they have answered.
         tokio::select! {
-            () = actix_rt::time::sleep(members::PROBE_PAUSE) => {}
+            () = actix_rt::time::sleep(members::PROBE_INTERVAL) => {}
             () = context.members_news.notified() => {}
         }
     }
@@ -163,9 +163,9 @@
     let owners = context.owners();
     let followers = &owners[..owners.len().min(members::FOLLOWERS)];
     let shares = context.shares.borrow();
-    let keepers = shares.keepers();
+    let quota_servers = shares.quota_servers();
     let is_first =
-        |id: &ids::InstanceId| keepers.contains(id) || followers.iter().any(|o| o.id == *id);
+        |id: &ids::InstanceId| quota_servers.contains(id) || followers.iter().any(|o| o.id == *id);
     let peers = peers.into_iter().enumerate();
     let members = context.members.borrow();
     let due = peers.filter(|(n, record)| {
@@ -307,7 +307,7 @@
             count_read(context, "endpoints_taken");
             let (id, revision) = (&hello.id, copy.revision);
             log::info!("event=endpoints_from_peer peer={id} revision={revision}");
-            let news = fleet_source::FleetNews::PeerEndpoints(copy);
+            let news = fleet_source::FleetUpdate::PeerEndpoints(copy);
             context.fleet.take(news);
         }
         Err(e) => {
--- a/src/serving/wire.rs
+++ b/src/serving/wire.rs
@@ -42,7 +42,7 @@
 
 /// What the head of an answer says.
 #[derive(Debug, Clone, Default)]
-pub struct AnswerNotes {
+pub struct ResponseMetadata {
     /// The endpoint says that the request did not run.
     pub not_run: bool,
     /// The request expects another endpoint than the one that answers.
@@ -52,7 +52,7 @@
     /// Name of the request that is answered.
     pub id: Option<String>,
     /// Whether the endpoint vouches for the answer.
-    pub is_vouched: bool,
+    pub is_confirmed: bool,
     /// The body is encoded on the way, so it is not the endpoint's own.
     pub is_encoded: bool,
     /// The endpoint's load.
@@ -160,7 +160,7 @@
     fn write_workspace(&self, headers: &mut HeaderMap, workspace: Option<&ids::WorkspaceId>);
 
     /// Reads the head of an endpoint's answer.
-    fn answer_notes(&self, head: &actix_http::ResponseHead) -> AnswerNotes;
+    fn response_metadata(&self, head: &actix_http::ResponseHead) -> ResponseMetadata;
 
     /// Whether a header of an endpoint's answer goes on to the caller.
     fn is_forwarded(&self, name: &header::HeaderName) -> bool;
--- a/src/serving/workspaces/limit_messages.rs
+++ b/src/serving/workspaces/limit_messages.rs
@@ -12,13 +12,13 @@
 
 impl ClockStamp {
     /// The stamp of a moment.
-    pub fn of(moment: clock::Moment) -> Self {
+    pub fn of(moment: clock::MonotonicTime) -> Self {
         Self(moment.0)
     }
 
     /// The moment of a stamp of this process.
-    pub fn moment(self) -> clock::Moment {
-        clock::Moment(self.0)
+    pub fn moment(self) -> clock::MonotonicTime {
+        clock::MonotonicTime(self.0)
     }
 }
 
@@ -30,7 +30,7 @@
     /// The share.
     pub time: share_clock::ShareTime,
     /// The keepers that the gateway knows.
-    pub view: share_clock::KeeperView,
+    pub view: share_clock::QuotaServerView,
     /// The run of the keeper that made the stamp.
     pub run: ids::RunNumber,
     /// The latest stamp of the keeper that the gateway has read.
--- a/src/serving/workspaces/limiter.rs
+++ b/src/serving/workspaces/limiter.rs
@@ -10,7 +10,7 @@
 use tokio::sync::Notify;
 
 use super::limit_messages;
-use crate::{clock, decisions::rate_limits::grant_stock, ids};
+use crate::{clock, decisions::rate_limits::token_cache, ids};
 
 /// Longest wait for a request for tokens that another request of the workspace made.
 const FLIGHT_TIMEOUT: time::Duration = time::Duration::from_secs(1);
@@ -24,12 +24,12 @@
 /// Where tokens are drawn.
 pub trait GrantSource {
     /// The keepers of a workspace's pools, the first choice first.
-    fn keepers(&self, workspace: &ids::WorkspaceId) -> Vec<ids::InstanceId>;
+    fn quota_servers(&self, workspace: &ids::WorkspaceId) -> Vec<ids::InstanceId>;
 
     /// Asks a keeper for tokens; nothing if it does not answer.
     fn ask(
         &self,
-        keeper: ids::InstanceId,
+        quota_server: ids::InstanceId,
         ask: limit_messages::GrantAsk,
     ) -> future::LocalBoxFuture<'_, Option<limit_messages::GrantAnswer>>;
 }
@@ -55,7 +55,7 @@
 /// Tokens of a gateway, and the requests for more that are under way.
 #[derive(Default)]
 pub struct Limiter {
-    stock: cell::RefCell<grant_stock::GrantStock>,
+    stock: cell::RefCell<token_cache::TokenCache>,
     flights: cell::RefCell<collections::HashMap<ids::WorkspaceId, rc::Rc<AskFlight>>>,
 }
 
@@ -105,7 +105,7 @@
                 return refusal(denial);
             }
             if now.since(begun) > FLIGHT_TIMEOUT {
-                return refusal(grant_stock::Denial::Silent);
+                return refusal(token_cache::Denial::Silent);
             }
             let under_way = self.flights.borrow().get(workspace).cloned();
             match under_way {
@@ -116,12 +116,12 @@
     }
 
     /// Gives back the token of a request that was not run.
-    pub fn give_back(&self, workspace: &ids::WorkspaceId, now: clock::Moment) {
+    pub fn give_back(&self, workspace: &ids::WorkspaceId, now: clock::MonotonicTime) {
         self.stock.borrow_mut().put(workspace, 1, now);
     }
 
     /// Forgets workspaces without requests since a moment.
-    pub fn forget_idle(&self, since: clock::Moment) {
+    pub fn forget_idle(&self, since: clock::MonotonicTime) {
         self.stock.borrow_mut().forget_idle(since);
     }
 
@@ -154,22 +154,22 @@
         source: &dyn GrantSource,
         clock: &dyn clock::MonotonicClock,
         flight: &AskFlight,
-    ) -> Result<(), grant_stock::Denial> {
-        let mut denial = grant_stock::Denial::Silent;
-        let mut keepers = source.keepers(workspace).into_iter();
+    ) -> Result<(), token_cache::Denial> {
+        let mut denial = token_cache::Denial::Silent;
+        let mut quota_servers = source.quota_servers(workspace).into_iter();
         let mut asks = stream::FuturesUnordered::new();
         loop {
-            if let Some(keeper) = keepers.next() {
+            if let Some(quota_server) = quota_servers.next() {
                 let wanted = self.wanted(workspace, flight);
                 let workspace = workspace.clone();
                 let asked_at = clock.now();
-                let ask = source.ask(keeper, limit_messages::GrantAsk { workspace, wanted });
+                let ask = source.ask(quota_server, limit_messages::GrantAsk { workspace, wanted });
                 asks.push(ask.map(move |answer| (answer, asked_at)));
             }
             if asks.is_empty() {
                 return Err(denial);
             }
-            let is_last = keepers.len() == 0;
+            let is_last = quota_servers.len() == 0;
             tokio::select! {
                 biased;
                 Some((answer, asked_at)) = asks.next() => match answer {
@@ -204,19 +204,19 @@
 }
 
 /// The denial after one more keeper has said when it has a token.
-fn sooner(before: grant_stock::Denial, wait: time::Duration) -> grant_stock::Denial {
+fn sooner(before: token_cache::Denial, wait: time::Duration) -> token_cache::Denial {
     match before {
-        grant_stock::Denial::Exceeded(other) => grant_stock::Denial::Exceeded(other.min(wait)),
-        grant_stock::Denial::Silent => grant_stock::Denial::Exceeded(wait),
+        token_cache::Denial::Exceeded(other) => token_cache::Denial::Exceeded(other.min(wait)),
+        token_cache::Denial::Silent => token_cache::Denial::Exceeded(wait),
     }
 }
 
 /// The verdict on a request without a token. Callers return at different times, or
 /// the limit would be used up by the first of them again.
-fn refusal(denial: grant_stock::Denial) -> LimitVerdict {
+fn refusal(denial: token_cache::Denial) -> LimitVerdict {
     let spread = RETURN_SPREAD.mul_f64(rand::rng().random());
     match denial {
-        grant_stock::Denial::Exceeded(wait) => LimitVerdict::Exceeded(wait + spread),
-        grant_stock::Denial::Silent => LimitVerdict::Unchecked(SILENT_PAUSE + spread / 4),
+        token_cache::Denial::Exceeded(wait) => LimitVerdict::Exceeded(wait + spread),
+        token_cache::Denial::Silent => LimitVerdict::Unchecked(SILENT_PAUSE + spread / 4),
     }
 }
--- a/src/settle.rs
+++ b/src/settle.rs
@@ -16,9 +16,9 @@
 }
 
 /// Shortest pause between tries.
-const FIRST_PAUSE: time::Duration = time::Duration::from_millis(50);
+const INITIAL_DELAY: time::Duration = time::Duration::from_millis(50);
 /// Longest pause between tries.
-const LAST_PAUSE: time::Duration = time::Duration::from_secs(5);
+const MAX_DELAY: time::Duration = time::Duration::from_secs(5);
 
 /// A pause that doubles, with jitter so that a fleet does not return as a herd.
 #[derive(Debug, Clone)]
@@ -30,15 +30,15 @@
 impl Default for JitteredBackoff {
     fn default() -> Self {
         Self {
-            pause: FIRST_PAUSE,
-            last: LAST_PAUSE,
+            pause: INITIAL_DELAY,
+            last: MAX_DELAY,
         }
     }
 }
 
 impl JitteredBackoff {
     /// The next pause: between half and all of a span that doubles each time.
-    pub fn next_pause(&mut self) -> time::Duration {
+    pub fn next_delay(&mut self) -> time::Duration {
         let span = self.pause;
         self.pause = (self.pause * 2).min(self.last);
         span.mul_f64(rand::rng().random_range(0.5..1.0))
@@ -76,7 +76,7 @@
             store::StoreError::Conflict | store::StoreError::Unknown
         );
         may_have_taken_effect |= error == store::StoreError::Unknown;
-        if unclear && !protection::is_out("read_back") {
+        if unclear && !protection::is_disabled("read_back") {
             match store.get(class, key).await {
                 Ok(Some(found)) if found.value == value => {
                     return Ok(SettledWrite::Done(found.revision))
@@ -87,7 +87,7 @@
                 _ => {}
             }
         }
-        let pause = backoff.next_pause();
+        let pause = backoff.next_delay();
         if time::Instant::now() + pause >= deadline {
             // A refusal of the last try says nothing of the ones before.
             return Err(match may_have_taken_effect {
@@ -128,7 +128,7 @@
         {
             Ok(()) => return Ok(()),
             Err(e) if time::Instant::now() >= deadline => return Err(e),
-            Err(_) => actix_rt::time::sleep(backoff.next_pause()).await,
+            Err(_) => actix_rt::time::sleep(backoff.next_delay()).await,
         }
     }
 }
--- a/src/smoke.rs
+++ b/src/smoke.rs
@@ -61,7 +61,7 @@
 }
 
 /// The answer that the stand-in engines give to a message.
-pub fn expected_answer(content: &str, tokens: u32) -> String {
+pub fn expected_response(content: &str, tokens: u32) -> String {
     engine_model::answer_text(&format!("user\n{content}\n"), tokens)
 }
 
@@ -81,7 +81,7 @@
     let text = answer["choices"][0]["message"]["content"]
         .as_str()
         .unwrap_or_default();
-    compare(text, &expected_answer(content, TOKENS))?;
+    compare(text, &expected_response(content, TOKENS))?;
     Ok(format!("{TOKENS} tokens"))
 }
 
@@ -110,7 +110,7 @@
                 .unwrap_or_default(),
         );
     }
-    compare(&text, &expected_answer(content, TOKENS))?;
+    compare(&text, &expected_response(content, TOKENS))?;
     if !finished {
         return Err(cli::CommandError::failed("the stream did not end"));
     }
@@ -159,7 +159,7 @@
             .unwrap_or_default();
         compare(
             text,
-            &expected_answer(&format!("offer letter {number}"), TOKENS),
+            &expected_response(&format!("offer letter {number}"), TOKENS),
         )?;
         if !seen.insert(name.clone()) {
             return Err(cli::CommandError::failed(format!(
--- a/src/standin/engine.rs
+++ b/src/standin/engine.rs
@@ -60,7 +60,7 @@
         }
     }
 
-    async fn serve(self, mut request: actix_http::Request) -> http_server::HttpAnswer {
+    async fn serve(self, mut request: actix_http::Request) -> http_server::HttpResponse {
         let path = request.path().to_owned();
         match (request.method().clone(), path.as_str()) {
             (Method::POST, "/v1/chat/completions" | "/v1/completions") => {
@@ -118,7 +118,7 @@
     }
 
     /// Cache events after a number: late, and with gaps.
-    async fn cache_events(&self, request: &actix_http::Request) -> http_server::HttpAnswer {
+    async fn cache_events(&self, request: &actix_http::Request) -> http_server::HttpResponse {
         let after = http_server::query(request.uri(), "after").and_then(|v| v.parse().ok());
         let events: Vec<engine_model::CacheEvent> = {
             let state = self.state.borrow();
@@ -132,7 +132,7 @@
         http_server::json(StatusCode::OK, &events)
     }
 
-    async fn generate(&self, request: &mut actix_http::Request) -> http_server::HttpAnswer {
+    async fn generate(&self, request: &mut actix_http::Request) -> http_server::HttpResponse {
         let head = request.head();
         let attempt = http_server::header(head, wire::ATTEMPT_HEADER)
             .unwrap_or("")
@@ -199,7 +199,7 @@
     model: &str,
     sender_name: String,
     mut tokens: stream::LocalBoxStream<'static, Option<engine_model::MadeToken>>,
-) -> http_server::HttpAnswer {
+) -> http_server::HttpResponse {
     let mut text = String::new();
     while let Some(token) = tokens.next().await {
         match token {
@@ -208,7 +208,7 @@
         }
     }
     let count = engine_model::token_count(&prompt);
-    let answer = wire::whole_answer(chat, "gen-0", model, &text, count);
+    let answer = wire::full_response(chat, "gen-0", model, &text, count);
     let mut answer = http_server::json(StatusCode::OK, &answer);
     if let Ok(value) = sender_name.parse() {
         let name = actix_http::header::HeaderName::from_static(wire::ATTEMPT_HEADER);
@@ -217,7 +217,7 @@
     answer
 }
 
-fn refused() -> http_server::HttpAnswer {
+fn refused() -> http_server::HttpResponse {
     actix_http::Response::build(StatusCode::SERVICE_UNAVAILABLE)
         .insert_header((wire::RAN_HEADER, "no"))
         .body("refused")
@@ -263,7 +263,7 @@
     fn handle(
         &self,
         request: actix_http::Request,
-    ) -> future::LocalBoxFuture<'static, http_server::HttpAnswer> {
+    ) -> future::LocalBoxFuture<'static, http_server::HttpResponse> {
         self.clone().serve(request).boxed_local()
     }
 }
--- a/src/standin/engine_state.rs
+++ b/src/standin/engine_state.rs
@@ -210,7 +210,7 @@
         };
     }
 
-    pub(super) fn take_order(&mut self, order: EngineOrder) -> http_server::HttpAnswer {
+    pub(super) fn take_order(&mut self, order: EngineOrder) -> http_server::HttpResponse {
         if self.options.checks_fencing && order.fence < self.order.fence {
             return http_server::plain(StatusCode::CONFLICT, "old fencing number");
         }
--- a/src/standin/mod.rs
+++ b/src/standin/mod.rs
@@ -19,7 +19,7 @@
 /// Reads a JSON body; a bad one becomes the answer to give.
 async fn read_json<T: serde::de::DeserializeOwned>(
     request: &mut actix_http::Request,
-) -> Result<T, http_server::HttpAnswer> {
+) -> Result<T, http_server::HttpResponse> {
     let timeout = time::Duration::from_secs(10);
     let body = http_server::read_body(request, MAX_BODY_BYTES, timeout)
         .await
--- a/src/standin/objects.rs
+++ b/src/standin/objects.rs
@@ -128,7 +128,7 @@
         }
     }
 
-    fn changes(&self, prefixes: &[String], since: u64) -> platform::WatchAnswer {
+    fn changes(&self, prefixes: &[String], since: u64) -> platform::WatchResponse {
         let wanted = |key: &String| prefixes.iter().any(|p| key.starts_with(p.as_str()));
         let mut changes: Vec<platform::ObjectChange> = self
             .objects
@@ -157,7 +157,7 @@
             Some(last) if more => last.revision,
             _ => self.revision,
         };
-        platform::WatchAnswer { revision, changes }
+        platform::WatchResponse { revision, changes }
     }
 
     fn all(&self) -> Vec<platform::ObjectChange> {
@@ -169,8 +169,8 @@
         self.objects.iter().map(change).collect()
     }
 
-    fn list(&self, prefix: &str, after: &str) -> platform::ListAnswer {
-        let mut answer = platform::ListAnswer::default();
+    fn list(&self, prefix: &str, after: &str) -> platform::ListResponse {
+        let mut answer = platform::ListResponse::default();
         let mut size = 0;
         let range = self.objects.range(prefix.to_owned()..);
         for (key, object) in range.take_while(|(key, _)| key.starts_with(prefix)) {
@@ -233,7 +233,7 @@
         }
     }
 
-    async fn serve(self, mut request: actix_http::Request) -> http_server::HttpAnswer {
+    async fn serve(self, mut request: actix_http::Request) -> http_server::HttpResponse {
         let path = request.path().to_owned();
         match path.as_str() {
             "/faults" => return self.set_faults(&mut request).await,
@@ -278,7 +278,7 @@
         }
     }
 
-    async fn set_faults(&self, request: &mut actix_http::Request) -> http_server::HttpAnswer {
+    async fn set_faults(&self, request: &mut actix_http::Request) -> http_server::HttpResponse {
         match super::read_json(request).await {
             Ok(faults) => {
                 self.table.borrow_mut().faults = faults;
@@ -288,7 +288,7 @@
         }
     }
 
-    async fn set_endpoints(&self, request: &mut actix_http::Request) -> http_server::HttpAnswer {
+    async fn set_endpoints(&self, request: &mut actix_http::Request) -> http_server::HttpResponse {
         match super::read_json(request).await {
             Ok(endpoints) => {
                 let mut table = self.table.borrow_mut();
@@ -302,7 +302,7 @@
     }
 
     /// The list of endpoints, unless the caller has it already.
-    fn endpoints(&self, request: &actix_http::Request) -> http_server::HttpAnswer {
+    fn endpoints(&self, request: &actix_http::Request) -> http_server::HttpResponse {
         let table = self.table.borrow();
         let lag = time::Duration::from_millis(table.faults.list_lag_ms);
         let old = table
@@ -321,14 +321,14 @@
         tagged(StatusCode::OK, revision, text.into())
     }
 
-    fn list(&self, request: &actix_http::Request) -> http_server::HttpAnswer {
+    fn list(&self, request: &actix_http::Request) -> http_server::HttpResponse {
         let prefix = http_server::query(request.uri(), "prefix").unwrap_or_default();
         let after = http_server::query(request.uri(), "after").unwrap_or_default();
         let answer = self.table.borrow().list(&prefix, &after);
         http_server::json(StatusCode::OK, &answer)
     }
 
-    async fn watch(&self, request: &actix_http::Request) -> http_server::HttpAnswer {
+    async fn watch(&self, request: &actix_http::Request) -> http_server::HttpResponse {
         let number = |name| http_server::query(request.uri(), name).and_then(|v| v.parse().ok());
         let prefixes = http_server::query(request.uri(), "prefixes").unwrap_or_default();
         let prefixes: Vec<String> = prefixes.split(',').map(str::to_owned).collect();
@@ -352,7 +352,7 @@
         &self,
         key: &str,
         request: &mut actix_http::Request,
-    ) -> http_server::HttpAnswer {
+    ) -> http_server::HttpResponse {
         if request.method() == Method::GET {
             return self.get(key);
         }
@@ -383,7 +383,7 @@
         tagged(StatusCode::OK, revision, bytes::Bytes::new())
     }
 
-    fn get(&self, key: &str) -> http_server::HttpAnswer {
+    fn get(&self, key: &str) -> http_server::HttpResponse {
         let table = self.table.borrow();
         match table.objects.get(key) {
             Some(object) => tagged(StatusCode::OK, object.revision, object.value.clone()),
@@ -392,7 +392,7 @@
     }
 }
 
-fn tagged(status: StatusCode, revision: u64, body: bytes::Bytes) -> http_server::HttpAnswer {
+fn tagged(status: StatusCode, revision: u64, body: bytes::Bytes) -> http_server::HttpResponse {
     actix_http::Response::build(status)
         .insert_header(("etag", format!("\"{revision}\"")))
         .body(body)
@@ -403,7 +403,7 @@
     fn handle(
         &self,
         request: actix_http::Request,
-    ) -> future::LocalBoxFuture<'static, http_server::HttpAnswer> {
+    ) -> future::LocalBoxFuture<'static, http_server::HttpResponse> {
         self.clone().serve(request).boxed_local()
     }
 }
--- a/src/standin/plain_service.rs
+++ b/src/standin/plain_service.rs
@@ -31,7 +31,7 @@
 }
 
 impl PlainStandin {
-    async fn serve(self, mut request: actix_http::Request) -> http_server::HttpAnswer {
+    async fn serve(self, mut request: actix_http::Request) -> http_server::HttpResponse {
         let path = request.path().to_owned();
         match (request.method().clone(), path.as_str()) {
             (Method::POST, "/faults") => {
@@ -81,7 +81,7 @@
     fn handle(
         &self,
         request: actix_http::Request,
-    ) -> future::LocalBoxFuture<'static, http_server::HttpAnswer> {
+    ) -> future::LocalBoxFuture<'static, http_server::HttpResponse> {
         self.clone().serve(request).boxed_local()
     }
 }
--- a/src/store.rs
+++ b/src/store.rs
@@ -119,7 +119,7 @@
         &self,
         prefix: &str,
         after: &str,
-    ) -> future::BoxFuture<'static, StoreResult<platform::ListAnswer>>;
+    ) -> future::BoxFuture<'static, StoreResult<platform::ListResponse>>;
 
     /// Waits for changes under some prefixes after a revision.
     fn watch(
@@ -127,7 +127,7 @@
         prefixes: &[&str],
         since: ObjectRevision,
         wait: time::Duration,
-    ) -> future::BoxFuture<'static, StoreResult<platform::WatchAnswer>>;
+    ) -> future::BoxFuture<'static, StoreResult<platform::WatchResponse>>;
 
     /// The platform's lagging list of endpoints.
     ///
--- a/src/store_client.rs
+++ b/src/store_client.rs
@@ -185,7 +185,7 @@
         &self,
         prefix: &str,
         after: &str,
-    ) -> future::BoxFuture<'static, store::StoreResult<platform::ListAnswer>> {
+    ) -> future::BoxFuture<'static, store::StoreResult<platform::ListResponse>> {
         let query = encode_query(&[("prefix", prefix), ("after", after)]);
         let call = self.read(format!("/list?{query}"), CALL_TIMEOUT);
         async move { decode(call.await) }.boxed()
@@ -196,7 +196,7 @@
         prefixes: &[&str],
         since: store::ObjectRevision,
         wait: time::Duration,
-    ) -> future::BoxFuture<'static, store::StoreResult<platform::WatchAnswer>> {
+    ) -> future::BoxFuture<'static, store::StoreResult<platform::WatchResponse>> {
         let seconds = wait.as_secs().to_string();
         let query = encode_query(&[
             ("prefixes", &prefixes.join(",")),
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -137,7 +137,7 @@
 }
 
 /// A whole answer in the form callers know.
-pub fn whole_answer(
+pub fn full_response(
     chat: bool,
     id: &str,
     model: &str,
--- a/tests/batch_failures.rs
+++ b/tests/batch_failures.rs
@@ -92,7 +92,7 @@
             .expect("it is streamed");
         assert_eq!(
             (text, whole),
-            (jayhollow::smoke::expected_answer(&content, 8), true)
+            (jayhollow::smoke::expected_response(&content, 8), true)
         );
         served += 1;
     }
--- a/tests/crash_ledger.rs
+++ b/tests/crash_ledger.rs
@@ -15,8 +15,8 @@
 const MINUTE: u64 = 60;
 const DAY: u64 = 24 * 60 * MINUTE;
 
-fn at(seconds: u64) -> clock::Moment {
-    clock::Moment(seconds * 1_000_000)
+fn at(seconds: u64) -> clock::MonotonicTime {
+    clock::MonotonicTime(seconds * 1_000_000)
 }
 
 fn digest(name: &str) -> ids::RequestDigest {
@@ -112,10 +112,10 @@
     let sent = |name: &str, micros: u64| CrashedRun {
         digest: digest(name),
         endpoint: endpoint(1),
-        begun: clock::Moment(1_000_000 + micros),
+        begun: clock::MonotonicTime(1_000_000 + micros),
     };
     for round in 1..9 {
-        let now = clock::Moment(1_010_000 + round * 50_000);
+        let now = clock::MonotonicTime(1_010_000 + round * 50_000);
         for name in ["x", "y"] {
             let outcome = ledger.note_crash(&sent(name, round * 50_000), now);
             assert_eq!(outcome, CrashOutcome::Gone);
--- a/tests/endpoint_health.rs
+++ b/tests/endpoint_health.rs
@@ -4,7 +4,7 @@
 
 use jayhollow::{
     clock,
-    decisions::health::{FailureReport, HealthBoard},
+    decisions::health::{FailureReport, HealthTracker},
     ids,
 };
 use rand::{rngs, Rng as _, SeedableRng as _};
@@ -21,12 +21,12 @@
 /// Share of the time that an endpoint is out which fails so often at ten requests a second.
 fn share_out(failing: f64) -> f64 {
     let mut rng = rngs::SmallRng::seed_from_u64(3);
-    let mut board = HealthBoard::default();
+    let mut board = HealthTracker::default();
     let id = endpoint();
     let mut out = 0;
     const LOOKS: u64 = 20_000;
     for look in 0..LOOKS {
-        let now = clock::Moment(1_000_000 + look * 100_000);
+        let now = clock::MonotonicTime(1_000_000 + look * 100_000);
         if board.is_ejected(&id, now) {
             out += 1;
         } else if rng.random_bool(failing) {
@@ -40,8 +40,8 @@
 
 #[test]
 fn three_failures_in_a_row_eject_and_one_more_after_the_return() {
-    let mut board = HealthBoard::default();
-    let (id, now) = (endpoint(), clock::Moment(1));
+    let mut board = HealthTracker::default();
+    let (id, now) = (endpoint(), clock::MonotonicTime(1));
     board.note_failure(&id, now);
     board.note_failure(&id, now);
     assert!(!board.is_ejected(&id, now));
@@ -55,8 +55,8 @@
 
 #[test]
 fn the_first_time_out_is_short_and_doubles() {
-    let mut board = HealthBoard::default();
-    let (id, mut now) = (endpoint(), clock::Moment(1));
+    let mut board = HealthTracker::default();
+    let (id, mut now) = (endpoint(), clock::MonotonicTime(1));
     for out_ms in [500, 1000, 2000, 4000] {
         board.note_silence(&id, now);
         let nearly = now + time::Duration::from_millis(out_ms - 1);
@@ -85,8 +85,8 @@
 
 #[test]
 fn one_reporter_ejects_nothing_and_two_do() {
-    let mut board = HealthBoard::default();
-    let (id, now) = (endpoint(), clock::Moment(1));
+    let mut board = HealthTracker::default();
+    let (id, now) = (endpoint(), clock::MonotonicTime(1));
     let report = |reporter: &str| FailureReport {
         reporter: instance(reporter),
         is_silent: true,
@@ -101,8 +101,8 @@
 
 #[test]
 fn a_success_of_another_clears_what_one_reports() {
-    let mut board = HealthBoard::default();
-    let (id, now) = (endpoint(), clock::Moment(1));
+    let mut board = HealthTracker::default();
+    let (id, now) = (endpoint(), clock::MonotonicTime(1));
     for reporter in ["g1", "g2", "g1", "g2", "g1", "g2"] {
         let report = FailureReport {
             reporter: instance(reporter),
--- a/tests/endpoint_runs.rs
+++ b/tests/endpoint_runs.rs
@@ -4,7 +4,7 @@
 
 use jayhollow::{
     clock,
-    decisions::{backoff_marks, retry},
+    decisions::{endpoint_backoff, retry},
     ids,
     serving::{
         directory::{ChangeTerms, EndpointDirectory, EndpointEntry, ListChange},
@@ -33,8 +33,8 @@
     name.parse().expect("a name")
 }
 
-fn at(millis: u64) -> clock::Moment {
-    clock::Moment(millis * 1000)
+fn at(millis: u64) -> clock::MonotonicTime {
+    clock::MonotonicTime(millis * 1000)
 }
 
 /// What the store tells at a moment.
@@ -158,7 +158,7 @@
 #[test]
 fn marks_last_longer_each_time_and_are_forgotten() {
     let mut rng = rand::rngs::SmallRng::seed_from_u64(7);
-    let mut marks = backoff_marks::BackoffMarks::new(backoff_marks::BackoffRange {
+    let mut marks = endpoint_backoff::EndpointBackoff::new(endpoint_backoff::BackoffRange {
         first: time::Duration::from_secs(1),
         last: time::Duration::from_secs(8),
         spread: 0.0,
@@ -280,7 +280,7 @@
 #[test]
 fn pauses_after_refusals_double_within_bounds_and_are_spread() {
     let mut rng = rand::rngs::SmallRng::seed_from_u64(7);
-    let mut refusals = backoff_marks::BackoffMarks::new(backoff_marks::BackoffRange {
+    let mut refusals = endpoint_backoff::EndpointBackoff::new(endpoint_backoff::BackoffRange {
         first: time::Duration::from_millis(60),
         last: time::Duration::from_millis(960),
         spread: 0.3,
@@ -296,7 +296,7 @@
         longest = longest.max(now - begun);
     }
     assert!((900..=1250).contains(&longest), "{longest} ms");
-    let range = retry::PauseRange {
+    let range = retry::DelayRange {
         first: time::Duration::from_millis(100),
         last: time::Duration::from_millis(800),
     };
@@ -306,7 +306,7 @@
         (3, 800, 1200),
         (90, 800, 1200),
     ] {
-        let pause = retry::pause_after(earlier, &range, &mut rng).as_millis();
+        let pause = retry::backoff_delay(earlier, &range, &mut rng).as_millis();
         assert!(
             (least..=most).contains(&pause),
             "{pause} ms after {earlier}"
--- a/tests/item_order.rs
+++ b/tests/item_order.rs
@@ -2,12 +2,12 @@
 
 use jayhollow::{
     bench::placement,
-    decisions::item_order::{ItemOutlook, OrderPolicy, SpanEstimate},
+    decisions::item_order::{DurationEstimate, ItemTiming, OrderPolicy},
 };
 
 #[test]
 fn what_cannot_be_in_time_goes_last() {
-    let item = |due_ms, remaining_ms| ItemOutlook {
+    let item = |due_ms, remaining_ms| ItemTiming {
         due_ms,
         remaining_ms,
     };
@@ -21,7 +21,7 @@
 
 #[test]
 fn the_rest_of_a_span_is_told_from_the_mean_and_never_nothing() {
-    let mut estimate = SpanEstimate::default();
+    let mut estimate = DurationEstimate::default();
     assert_eq!(estimate.remaining_ms(500), 0, "nothing is known yet");
     estimate.note(5_000);
     assert_eq!(estimate.remaining_ms(2_000), 1_500, "half of what is left");
--- a/tests/limit_model.rs
+++ b/tests/limit_model.rs
@@ -7,11 +7,11 @@
 use std::{cell, time};
 
 use jayhollow::{
-    clock::Moment,
+    clock::MonotonicTime,
     decisions::rate_limits::{
         rate_limit::{LimitTolerance, RateLimit},
-        share_clock::{KeeperView, ShareClock, ShareTime},
-        token_pools::{Grant, PoolBoard, PoolDeposit},
+        share_clock::{QuotaServerView, ShareClock, ShareTime},
+        token_pools::{Grant, PoolDeposit, PoolTable},
     },
     ids,
 };
@@ -75,7 +75,7 @@
 struct FleetState {
     now_ms: u64,
     gateways: Vec<GatewayState>,
-    boards: Vec<PoolBoard>,
+    boards: Vec<PoolTable>,
     /// Deposits on their way, with the keepers that they go to.
     held: Vec<(usize, PoolDeposit)>,
     spent: u32,
@@ -89,8 +89,10 @@
     worst: cell::Cell<u32>,
 }
 
-fn keeper_id(keeper: usize) -> ids::InstanceId {
-    format!("d-{keeper}").parse().expect("it is an identifier")
+fn keeper_id(quota_server: usize) -> ids::InstanceId {
+    format!("d-{quota_server}")
+        .parse()
+        .expect("it is an identifier")
 }
 
 fn fresh_gateway(seed: u64) -> GatewayState {
@@ -102,8 +104,8 @@
 }
 
 impl FleetState {
-    fn now(&self) -> Moment {
-        Moment((1_000_000 + self.now_ms) * 1000)
+    fn now(&self) -> MonotonicTime {
+        MonotonicTime((1_000_000 + self.now_ms) * 1000)
     }
 }
 
@@ -122,8 +124,8 @@
         }
     }
 
-    fn board(&self, keeper: usize, now: Moment) -> PoolBoard {
-        PoolBoard::new(keeper_id(keeper), self.tolerance, now)
+    fn board(&self, quota_server: usize, now: MonotonicTime) -> PoolTable {
+        PoolTable::new(keeper_id(quota_server), self.tolerance, now)
     }
 
     fn begin(&self) -> FleetState {
@@ -156,18 +158,25 @@
     ) {
         state.now_ms += TICK_MS;
         let now = state.now();
-        for keeper in 0..KEEPERS {
-            let keepers = Self::keepers_beside(cut, GATEWAYS + keeper);
-            state.boards[keeper].set_keepers(&keepers, |_| Some(self.limit), now);
+        for quota_server in 0..KEEPERS {
+            let quota_servers = Self::keepers_beside(cut, GATEWAYS + quota_server);
+            state.boards[quota_server].set_quota_servers(&quota_servers, |_| Some(self.limit), now);
         }
         for gateway in 0..GATEWAYS {
-            let keepers = Self::keepers_beside(cut, gateway);
-            state.gateways[gateway].shares.set_keepers(&keepers, now);
-            for keeper in 0..KEEPERS {
-                if cut[GATEWAYS + keeper] == cut[gateway] {
-                    self.deposit(state, (gateway, keeper), KeeperView::of(&keepers), event);
-                    if is_hot && !(event == StepEvent::KeeperFreezes && keeper == 0) {
-                        self.draw(state, keeper);
+            let quota_servers = Self::keepers_beside(cut, gateway);
+            state.gateways[gateway]
+                .shares
+                .set_quota_servers(&quota_servers, now);
+            for quota_server in 0..KEEPERS {
+                if cut[GATEWAYS + quota_server] == cut[gateway] {
+                    self.deposit(
+                        state,
+                        (gateway, quota_server),
+                        QuotaServerView::of(&quota_servers),
+                        event,
+                    );
+                    if is_hot && !(event == StepEvent::KeeperFreezes && quota_server == 0) {
+                        self.draw(state, quota_server);
                     }
                 }
             }
@@ -177,13 +186,16 @@
     fn deposit(
         &self,
         state: &mut FleetState,
-        (gateway, keeper): (usize, usize),
-        view: KeeperView,
+        (gateway, quota_server): (usize, usize),
+        view: QuotaServerView,
         event: StepEvent,
     ) {
         let now = state.now();
         let sender = &mut state.gateways[gateway];
-        let Some(due) = sender.shares.take(&keeper_id(keeper), now, &mut sender.rng) else {
+        let Some(due) = sender
+            .shares
+            .take(&keeper_id(quota_server), now, &mut sender.rng)
+        else {
             return;
         };
         let deposit = PoolDeposit {
@@ -194,24 +206,24 @@
             stamp: now,
         };
         if self.fault == SeededFault::DepositsAgain {
-            sender.shares.put_back(&keeper_id(keeper), &due);
+            sender.shares.put_back(&keeper_id(quota_server), &due);
         }
-        let is_frozen = event == StepEvent::KeeperFreezes && keeper == 0;
+        let is_frozen = event == StepEvent::KeeperFreezes && quota_server == 0;
         if is_frozen || event == StepEvent::DepositsAreLate {
-            state.held.push((keeper, deposit));
+            state.held.push((quota_server, deposit));
             return;
         }
-        state.boards[keeper].deposit(&deposit, now);
+        state.boards[quota_server].deposit(&deposit, now);
         if event == StepEvent::DepositsAreRepeated {
-            state.boards[keeper].deposit(&deposit, now);
-            state.held.push((keeper, deposit));
+            state.boards[quota_server].deposit(&deposit, now);
+            state.held.push((quota_server, deposit));
         }
     }
 
-    fn draw(&self, state: &mut FleetState, keeper: usize) {
+    fn draw(&self, state: &mut FleetState, quota_server: usize) {
         let workspace = "w".parse().expect("it is an identifier");
         let now = state.now();
-        let drawn = state.boards[keeper].grant(&workspace, &self.limit, 10_000, now);
+        let drawn = state.boards[quota_server].grant(&workspace, &self.limit, 10_000, now);
         if let Grant::Tokens(count) = drawn {
             state.spent += count;
         }
@@ -225,8 +237,8 @@
         is_hot: bool,
     ) {
         let now = state.now();
-        for (keeper, deposit) in std::mem::take(&mut state.held) {
-            state.boards[keeper].deposit(&deposit, now);
+        for (quota_server, deposit) in std::mem::take(&mut state.held) {
+            state.boards[quota_server].deposit(&deposit, now);
         }
         match event {
             StepEvent::KeeperRestarts => state.boards[0] = self.board(0, now),
--- a/tests/members.rs
+++ b/tests/members.rs
@@ -15,7 +15,7 @@
 
 #[test]
 fn owners_are_the_live_dispatchers_or_else_the_gateways() {
-    let mut now = clock::Moment(1);
+    let mut now = clock::MonotonicTime(1);
     let own = record("g0", members::MemberRole::Gateway);
     let mut table = members::MemberTable::default();
     table.take(record("d2", members::MemberRole::Dispatcher));
@@ -62,7 +62,7 @@
 /// A gateway that was killed and was back within a second left its places held for 15 s.
 #[test]
 fn a_process_that_is_heard_in_another_run_has_ended_its_first() {
-    let now = clock::Moment(1);
+    let now = clock::MonotonicTime(1);
     let mut table = members::MemberTable::default();
     table.take(record("g1", members::MemberRole::Gateway));
     let id: ids::InstanceId = "g1".parse().expect("a name");
--- a/tests/online_failures.rs
+++ b/tests/online_failures.rs
@@ -27,7 +27,7 @@
             scope.spawn(move || {
                 let content = format!("stream {number}");
                 let (text, whole) = caller.stream(&content, tokens).expect("it is streamed");
-                assert_eq!(text, smoke::expected_answer(&content, tokens));
+                assert_eq!(text, smoke::expected_response(&content, tokens));
                 assert!(whole, "the answer says that it is whole");
             });
         }
@@ -75,7 +75,7 @@
     let (text, whole) = fleet.caller(0).stream("doomed", 200).expect("it begins");
     assert!(!whole);
     assert!(!text.is_empty());
-    assert!(smoke::expected_answer("doomed", 200).starts_with(&text));
+    assert!(smoke::expected_response("doomed", 200).starts_with(&text));
 }
 
 #[test]
@@ -90,7 +90,7 @@
             .post("/v1/chat/completions", support::chat(&content, 5, false));
         let answer = answer.expect("it is answered");
         let text = answer["choices"][0]["message"]["content"].as_str();
-        assert_eq!(text, Some(smoke::expected_answer(&content, 5).as_str()));
+        assert_eq!(text, Some(smoke::expected_response(&content, 5).as_str()));
     }
 }
 
@@ -247,7 +247,10 @@
             .join()
             .expect("the thread ends")
             .expect("it is streamed");
-        assert_eq!(text, smoke::expected_answer(&format!("long {number}"), 200));
+        assert_eq!(
+            text,
+            smoke::expected_response(&format!("long {number}"), 200)
+        );
         assert!(whole);
     }
     assert!(fleet.gateways[0].wait_end(), "the gateway ends cleanly");
@@ -256,7 +259,7 @@
         "the dispatcher ends cleanly"
     );
     let (text, whole) = fleet.caller(1).stream("after", 5).expect("it is streamed");
-    assert_eq!((text, whole), (smoke::expected_answer("after", 5), true));
+    assert_eq!((text, whole), (smoke::expected_response("after", 5), true));
 }
 
 #[test]
@@ -361,7 +364,7 @@
                     let client = support::TestClient::new(address, support::KEY);
                     let content = format!("caller {caller} request {served}");
                     let (text, whole) = client.stream(&content, 20).expect("it is streamed");
-                    assert_eq!(text, smoke::expected_answer(&content, 20));
+                    assert_eq!(text, smoke::expected_response(&content, 20));
                     assert!(whole);
                     served += 1;
                 }
--- a/tests/owner_order.rs
+++ b/tests/owner_order.rs
@@ -1,18 +1,18 @@
 //! In which order owners are asked, as plain values.
 
-use jayhollow::decisions::owner_order::{draw_order, KnownOwner};
+use jayhollow::decisions::owner_order::{draw_order, OwnerCapacity};
 use rand::{rngs, SeedableRng as _};
 
-fn owner(id: &str, room: u32, is_near: bool) -> KnownOwner {
-    KnownOwner {
+fn owner(id: &str, room: u32, is_same_domain: bool) -> OwnerCapacity {
+    OwnerCapacity {
         id: id.parse().expect("a name"),
         room,
-        is_near,
+        is_same_domain,
     }
 }
 
 /// How often each owner is asked first.
-fn firsts(owners: &[KnownOwner], draws: usize) -> Vec<usize> {
+fn firsts(owners: &[OwnerCapacity], draws: usize) -> Vec<usize> {
     let mut rng = rngs::SmallRng::seed_from_u64(7);
     let mut counts = vec![0; owners.len()];
     for _ in 0..draws {
--- a/tests/places.rs
+++ b/tests/places.rs
@@ -57,7 +57,7 @@
 #[test]
 fn a_place_that_was_given_back_before_it_was_asked_for_is_not_given() {
     let mut board = board(&[entry("a", "z")]);
-    let now = clock::Moment(1);
+    let now = clock::MonotonicTime(1);
     let ask = |number| ask_of(run("g"), number);
     assert_eq!(board.release(7), None);
     assert_eq!(board.acquire(&ask(7), &Default::default(), now), None);
@@ -69,7 +69,7 @@
 #[test]
 fn online_requests_take_places_back_and_are_refused_beyond_the_bound() {
     let mut board = board(&[entry("a", "z"), entry("b", "z")]);
-    let now = clock::Moment(1);
+    let now = clock::MonotonicTime(1);
     let none = Default::default();
     let mut batch = 0;
     while board.begin_batch(&service(), &none, now).is_some() {
@@ -110,7 +110,7 @@
 #[test]
 fn lent_places_come_back_from_a_lost_borrower() {
     let mut board = board(&[entry("a", "z")]);
-    let now = clock::Moment(1);
+    let now = clock::MonotonicTime(1);
     let borrower = run("d");
     let lent = board.lend_batch(&slots_of(borrower.clone(), 9), &Default::default(), now);
     assert_eq!(lent.len(), 3);
@@ -132,7 +132,7 @@
 #[test]
 fn places_of_one_run_end_without_those_of_the_next() {
     let mut board = board(&[entry("a", "z")]);
-    let now = clock::Moment(1);
+    let now = clock::MonotonicTime(1);
     let none = Default::default();
     let [first, next] = ["1", "2"].map(|number| ids::InstanceRun {
         run: number.parse().expect("a number"),
@@ -159,7 +159,7 @@
 #[test]
 fn a_denial_says_what_stands_in_the_way() {
     let mut board = board(&[entry("a", "z"), entry("b", "z")]);
-    let now = clock::Moment(1);
+    let now = clock::MonotonicTime(1);
     let none = Default::default();
     for number in 0..4 {
         let mut ask = ask_of(run("g"), number);
@@ -185,7 +185,7 @@
 #[test]
 fn places_that_expired_are_given_to_others() {
     let mut board = board(&[entry("a", "z")]);
-    let now = clock::Moment(1);
+    let now = clock::MonotonicTime(1);
     let none = Default::default();
     for number in 0..4 {
         assert!(board
@@ -205,7 +205,7 @@
 #[test]
 fn slots_that_a_borrower_never_heard_of_come_back() {
     let mut board = board(&[entry("a", "z")]);
-    let now = clock::Moment(1);
+    let now = clock::MonotonicTime(1);
     let none = Default::default();
     let ask = |number| peers::SlotAsk {
         number,
--- a/tests/rate_limits.rs
+++ b/tests/rate_limits.rs
@@ -5,14 +5,14 @@
 
 use jayhollow::{
     bench::limit_fleet::{self, pooled, LimitPlan, LimitScenario},
-    clock::Moment,
+    clock::MonotonicTime,
     decisions::{
-        authentication::{judge, KeyMatch, KeyVerdict, KeyView},
+        authentication::{judge, KeyFreshness, KeyMatch, KeyVerdict},
         rate_limits::{
-            grant_stock::{Denial, GrantStock, GRANT_TTL},
             rate_limit::{LimitTolerance, RateLimit},
-            share_clock::{keepers_of, KeeperView, ShareClock, ShareTime, MAX_KEEPERS},
-            token_pools::{DepositOutcome, Grant, PoolBoard, PoolDeposit},
+            share_clock::{quota_servers_of, QuotaServerView, ShareClock, ShareTime, MAX_KEEPERS},
+            token_cache::{Denial, TokenCache, GRANT_TTL},
+            token_pools::{DepositOutcome, Grant, PoolDeposit, PoolTable},
         },
     },
     ids,
@@ -38,8 +38,8 @@
     RateLimit::new(rate, burst).expect("the rate is positive")
 }
 
-fn at_ms(ms: u64) -> Moment {
-    Moment((100_000 + ms) * 1000)
+fn at_ms(ms: u64) -> MonotonicTime {
+    MonotonicTime((100_000 + ms) * 1000)
 }
 
 fn plan(scenario: LimitScenario, seed: u64) -> LimitPlan {
@@ -84,34 +84,34 @@
 
 /// A keeper alone, and deposits that come to it.
 struct LoneKeeper {
-    board: PoolBoard,
-    view: KeeperView,
+    board: PoolTable,
+    view: QuotaServerView,
     run: ids::RunNumber,
     shares: ShareClock,
-    keeper: ids::InstanceId,
+    quota_server: ids::InstanceId,
 }
 
 impl LoneKeeper {
     fn new() -> Self {
-        let keeper: ids::InstanceId = id("d-0");
-        let keepers = [keeper.clone()];
-        let mut board = PoolBoard::new(keeper.clone(), TOLERANCE, at_ms(0));
-        board.set_keepers(&keepers, |_| None, at_ms(0));
+        let quota_server: ids::InstanceId = id("d-0");
+        let quota_servers = [quota_server.clone()];
+        let mut board = PoolTable::new(quota_server.clone(), TOLERANCE, at_ms(0));
+        board.set_quota_servers(&quota_servers, |_| None, at_ms(0));
         let mut shares = ShareClock::default();
-        shares.set_keepers(&keepers, at_ms(0));
+        shares.set_quota_servers(&quota_servers, at_ms(0));
         Self {
             board,
-            view: KeeperView::of(&keepers),
+            view: QuotaServerView::of(&quota_servers),
             run: ids::RunNumber::draw(),
             shares,
-            keeper,
+            quota_server,
         }
     }
 
     /// The deposit that is due at a moment.
-    fn due(&mut self, now: Moment) -> Option<PoolDeposit> {
+    fn due(&mut self, now: MonotonicTime) -> Option<PoolDeposit> {
         let mut rng = rngs::SmallRng::seed_from_u64(1);
-        let due = self.shares.take(&self.keeper, now, &mut rng)?;
+        let due = self.shares.take(&self.quota_server, now, &mut rng)?;
         Some(PoolDeposit {
             run: self.run,
             number: due.number,
@@ -121,7 +121,7 @@
         })
     }
 
-    fn draw(&mut self, limit: &RateLimit, wanted: u32, now: Moment) -> u32 {
+    fn draw(&mut self, limit: &RateLimit, wanted: u32, now: MonotonicTime) -> u32 {
         match self.board.grant(&id("w"), limit, wanted, now) {
             Grant::Tokens(count) => count,
             Grant::Empty(_) | Grant::NotKeeper => 0,
@@ -131,72 +131,74 @@
 
 #[test]
 fn repeated_late_and_foreign_deposits_credit_nothing() {
-    let mut keeper = LoneKeeper::new();
-    let deposit = keeper.due(at_ms(600)).expect("it is due");
+    let mut quota_server = LoneKeeper::new();
+    let deposit = quota_server.due(at_ms(600)).expect("it is due");
     assert_eq!(
-        keeper.board.deposit(&deposit, at_ms(600)),
+        quota_server.board.deposit(&deposit, at_ms(600)),
         DepositOutcome::Credited
     );
     assert_eq!(
-        keeper.board.deposit(&deposit, at_ms(601)),
+        quota_server.board.deposit(&deposit, at_ms(601)),
         DepositOutcome::Repeated
     );
-    let late = keeper.due(at_ms(1200)).expect("it is due");
+    let late = quota_server.due(at_ms(1200)).expect("it is due");
     assert_eq!(
-        keeper.board.deposit(&late, at_ms(4000)),
+        quota_server.board.deposit(&late, at_ms(4000)),
         DepositOutcome::Late
     );
-    let next = keeper.due(at_ms(5000)).expect("it is due");
+    let next = quota_server.due(at_ms(5000)).expect("it is due");
     let foreign = PoolDeposit {
-        view: KeeperView::of(&[id("d-7")]),
+        view: QuotaServerView::of(&[id("d-7")]),
         ..next
     };
     assert_eq!(
-        keeper.board.deposit(&foreign, at_ms(5000)),
+        quota_server.board.deposit(&foreign, at_ms(5000)),
         DepositOutcome::OtherView
     );
     let ahead = PoolDeposit {
         stamp: at_ms(9000),
-        ..keeper.due(at_ms(6000)).expect("it is due")
+        ..quota_server.due(at_ms(6000)).expect("it is due")
     };
     assert_eq!(
-        keeper.board.deposit(&ahead, at_ms(6000)),
+        quota_server.board.deposit(&ahead, at_ms(6000)),
         DepositOutcome::Late
     );
 }
 
 #[test]
 fn deposits_that_piled_up_while_a_keeper_stood_still_credit_no_more_than_its_burst() {
-    let mut keeper = LoneKeeper::new();
+    let mut quota_server = LoneKeeper::new();
     let limit = limit(100.0, 0.0);
-    let piled: Vec<_> = (1..=6).filter_map(|n| keeper.due(at_ms(n * 500))).collect();
+    let piled: Vec<_> = (1..=6)
+        .filter_map(|n| quota_server.due(at_ms(n * 500)))
+        .collect();
     for deposit in &piled {
         // Their stamps are made young, to show the bound by the passing of time alone.
         let deposit = PoolDeposit {
             stamp: at_ms(3000),
             ..*deposit
         };
-        keeper.board.deposit(&deposit, at_ms(3000));
+        quota_server.board.deposit(&deposit, at_ms(3000));
     }
-    assert!(keeper.draw(&limit, 1000, at_ms(3000)) <= 25);
+    assert!(quota_server.draw(&limit, 1000, at_ms(3000)) <= 25);
 }
 
 #[test]
 fn a_lower_limit_binds_at_once_and_a_higher_one_gives_no_more_than_its_depth() {
-    let mut keeper = LoneKeeper::new();
+    let mut quota_server = LoneKeeper::new();
     for n in 1..20 {
-        let deposit = keeper.due(at_ms(n * 500)).expect("it is due");
-        keeper.board.deposit(&deposit, at_ms(n * 500));
+        let deposit = quota_server.due(at_ms(n * 500)).expect("it is due");
+        quota_server.board.deposit(&deposit, at_ms(n * 500));
     }
     let now = at_ms(9500);
-    assert!(keeper.draw(&limit(1.0, 1.0), 1000, now) <= 20);
+    assert!(quota_server.draw(&limit(1.0, 1.0), 1000, now) <= 20);
     let high = limit(1000.0, 1000.0);
-    assert!(f64::from(keeper.draw(&high, 10_000, now)) <= high.depth(&TOLERANCE));
+    assert!(f64::from(quota_server.draw(&high, 10_000, now)) <= high.depth(&TOLERANCE));
 }
 
 #[test]
 fn drawn_tokens_expire_from_the_moment_they_were_asked_for() {
-    let mut stock = GrantStock::default();
+    let mut stock = TokenCache::default();
     let workspace = id("w");
     // The answer came long after the request: its gateway stood still meanwhile.
     stock.put(&workspace, 5, at_ms(0));
@@ -210,7 +212,7 @@
 
 #[test]
 fn an_empty_pool_is_not_asked_for_each_request() {
-    let mut stock = GrantStock::default();
+    let mut stock = TokenCache::default();
     let workspace = id("w");
     let denial = Denial::Exceeded(time::Duration::from_secs(3));
     stock.note_denial(&workspace, denial, at_ms(0));
@@ -220,33 +222,54 @@
 
 #[test]
 fn a_lost_keeper_is_followed_by_the_second_one() {
-    let keepers: Vec<ids::InstanceId> = (0..MAX_KEEPERS).map(|n| id(&format!("d-{n}"))).collect();
+    let quota_servers: Vec<ids::InstanceId> =
+        (0..MAX_KEEPERS).map(|n| id(&format!("d-{n}"))).collect();
     for number in 0..100 {
         let workspace = id(&format!("w-{number}"));
-        let order = keepers_of(&workspace, &keepers);
+        let order = quota_servers_of(&workspace, &quota_servers);
         assert_eq!(order.len(), 2);
-        let left: Vec<_> = keepers
+        let left: Vec<_> = quota_servers
             .iter()
             .filter(|k| **k != order[0])
             .cloned()
             .collect();
-        assert_eq!(keepers_of(&workspace, &left)[0], order[1]);
+        assert_eq!(quota_servers_of(&workspace, &left)[0], order[1]);
     }
 }
 
 #[rstest]
-#[case::none(KeyMatch::NoKey, false, KeyView::Current, KeyVerdict::Unauthorized)]
-#[case::none_and_behind(KeyMatch::NoKey, false, KeyView::Behind, KeyVerdict::Unauthorized)]
-#[case::unknown(KeyMatch::Unknown, false, KeyView::Current, KeyVerdict::Unauthorized)]
-#[case::not_known_yet(KeyMatch::Unknown, false, KeyView::Behind, KeyVerdict::Undecided)]
-#[case::known(KeyMatch::Known(1), false, KeyView::Behind, KeyVerdict::Workspace(1))]
-#[case::public(KeyMatch::NoKey, true, KeyView::Current, KeyVerdict::Anonymous)]
-#[case::public_unknown(KeyMatch::Unknown, true, KeyView::Behind, KeyVerdict::Anonymous)]
-#[case::public_known(KeyMatch::Known(1), true, KeyView::Current, KeyVerdict::Workspace(1))]
+#[case::none(
+    KeyMatch::NoKey,
+    false,
+    KeyFreshness::Current,
+    KeyVerdict::Unauthorized
+)]
+#[case::none_and_behind(KeyMatch::NoKey, false, KeyFreshness::Behind, KeyVerdict::Unauthorized)]
+#[case::unknown(
+    KeyMatch::Unknown,
+    false,
+    KeyFreshness::Current,
+    KeyVerdict::Unauthorized
+)]
+#[case::not_known_yet(KeyMatch::Unknown, false, KeyFreshness::Behind, KeyVerdict::Undecided)]
+#[case::known(
+    KeyMatch::Known(1),
+    false,
+    KeyFreshness::Behind,
+    KeyVerdict::Workspace(1)
+)]
+#[case::public(KeyMatch::NoKey, true, KeyFreshness::Current, KeyVerdict::Anonymous)]
+#[case::public_unknown(KeyMatch::Unknown, true, KeyFreshness::Behind, KeyVerdict::Anonymous)]
+#[case::public_known(
+    KeyMatch::Known(1),
+    true,
+    KeyFreshness::Current,
+    KeyVerdict::Workspace(1)
+)]
 fn keys_are_judged(
     #[case] found: KeyMatch<u8>,
     #[case] is_public: bool,
-    #[case] view: KeyView,
+    #[case] view: KeyFreshness,
     #[case] expected: KeyVerdict<u8>,
 ) {
     assert_eq!(judge(found, is_public, view), expected);
@@ -264,7 +287,7 @@
         burst in 0.0f64..200.0,
     ) {
         let limit = limit(rate, burst);
-        let mut keeper = LoneKeeper::new();
+        let mut quota_server = LoneKeeper::new();
         let mut now_ms = 0;
         let mut given: Vec<(u64, u32)> = Vec::new();
         let mut kept: Vec<PoolDeposit> = Vec::new();
@@ -273,17 +296,17 @@
             let now = at_ms(now_ms);
             match what {
                 // Lost, in order, and kept back to come late or twice.
-                0 => drop(keeper.due(now)),
-                1 => if let Some(deposit) = keeper.due(now) {
-                    keeper.board.deposit(&deposit, now);
+                0 => drop(quota_server.due(now)),
+                1 => if let Some(deposit) = quota_server.due(now) {
+                    quota_server.board.deposit(&deposit, now);
                     kept.push(deposit);
                 },
-                2 => kept.extend(keeper.due(now)),
+                2 => kept.extend(quota_server.due(now)),
                 _ => for deposit in kept.drain(..) {
-                    keeper.board.deposit(&deposit, now);
+                    quota_server.board.deposit(&deposit, now);
                 },
             }
-            given.push((now_ms, keeper.draw(&limit, wanted, now)));
+            given.push((now_ms, quota_server.draw(&limit, wanted, now)));
         }
         for (from, _) in &given {
             let window = given.iter().filter(|(at, _)| at >= from && *at < from + 5000);
--- a/tests/settled_writes.rs
+++ b/tests/settled_writes.rs
@@ -102,8 +102,8 @@
         &self,
         _: &str,
         _: &str,
-    ) -> future::BoxFuture<'static, StoreResult<platform::ListAnswer>> {
-        future::ready(Ok(platform::ListAnswer::default())).boxed()
+    ) -> future::BoxFuture<'static, StoreResult<platform::ListResponse>> {
+        future::ready(Ok(platform::ListResponse::default())).boxed()
     }
 
     fn watch(
@@ -111,8 +111,8 @@
         _: &[&str],
         _: store::ObjectRevision,
         _: time::Duration,
-    ) -> future::BoxFuture<'static, StoreResult<platform::WatchAnswer>> {
-        future::ready(Ok(platform::WatchAnswer::default())).boxed()
+    ) -> future::BoxFuture<'static, StoreResult<platform::WatchResponse>> {
+        future::ready(Ok(platform::WatchResponse::default())).boxed()
     }
 
     fn endpoints(
--- a/tests/state_copy.rs
+++ b/tests/state_copy.rs
@@ -4,7 +4,7 @@
 
 use jayhollow::serving::{
     route_table,
-    state_copy::{CopyShelf, IncomingState, PartOutcome, StatePart, StatePartAsk, PART_BYTES},
+    state_copy::{CopyShelf, IncomingState, PartOutcome, StatePart, StatePartRequest, PART_BYTES},
 };
 
 fn route(number: usize) -> route_table::Route {
@@ -47,7 +47,7 @@
 /// Adds parts until the state is whole; gives its version and the parts it took.
 fn transfer(
     incoming: &mut IncomingState,
-    mut tell: impl FnMut(StatePartAsk) -> StatePart,
+    mut tell: impl FnMut(StatePartRequest) -> StatePart,
 ) -> (route_table::DesiredState, usize) {
     for count in 1..1000 {
         match incoming.add(tell(incoming.next_ask())) {
@@ -100,7 +100,7 @@
     });
     // The second peer encodes the copy itself, when it is first asked.
     shelves[1]
-        .part(StatePartAsk::First, &newest)
+        .part(StatePartRequest::First, &newest)
         .expect("it can be encoded");
     let mut turn = 0;
     let (arrived, parts) = transfer(&mut IncomingState::default(), |ask| {
@@ -116,18 +116,20 @@
 fn parts_of_another_copy_or_place_add_nothing() {
     let shelf = CopyShelf::default();
     let newest = state(7, 2000);
-    let first = shelf.part(StatePartAsk::First, &newest).expect("a part");
+    let first = shelf
+        .part(StatePartRequest::First, &newest)
+        .expect("a part");
     let second = shelf
-        .part(StatePartAsk::Next(first.copy, PART_BYTES), &newest)
+        .part(StatePartRequest::Next(first.copy, PART_BYTES), &newest)
         .expect("a part");
-    let other = shelf.part(StatePartAsk::First, &state(8, 2000));
+    let other = shelf.part(StatePartRequest::First, &state(8, 2000));
     let other = other.expect("a part");
     let mut incoming = IncomingState::default();
     assert!(matches!(incoming.add(first.clone()), PartOutcome::Added));
     for unfit in [first.clone(), other, third_of(&second)] {
         assert!(matches!(incoming.add(unfit), PartOutcome::Unfit(_)));
     }
-    let ask = StatePartAsk::Next(first.copy, PART_BYTES);
+    let ask = StatePartRequest::Next(first.copy, PART_BYTES);
     assert_eq!(incoming.next_ask(), ask, "it goes on where it was");
     let (arrived, _) = transfer(&mut incoming, |ask| {
         shelf.part(ask, &newest).expect("a part")
@@ -147,7 +149,9 @@
 fn a_damaged_state_is_refused_and_the_next_one_taken() {
     let shelf = CopyShelf::default();
     let newest = state(7, 3);
-    let part = shelf.part(StatePartAsk::First, &newest).expect("a part");
+    let part = shelf
+        .part(StatePartRequest::First, &newest)
+        .expect("a part");
     // Some of these still inflate to a state, but to another one.
     let damaged = (0..part.bytes.len()).map(|place| {
         let mut damaged = part.clone();
@@ -159,7 +163,7 @@
     let mut incoming = IncomingState::default();
     for bad in damaged.chain([huge]) {
         assert!(matches!(incoming.add(bad), PartOutcome::Refused(_)));
-        assert_eq!(incoming.next_ask(), StatePartAsk::First);
+        assert_eq!(incoming.next_ask(), StatePartRequest::First);
     }
     assert_eq!(version(&incoming.add(part)), Some(7));
 }
--- a/tests/support/client.rs
+++ b/tests/support/client.rs
@@ -37,8 +37,8 @@
         }
     }
 
-    pub fn reach(&self) -> cli::GatewayReach {
-        cli::GatewayReach {
+    pub fn reach(&self) -> cli::GatewayProfile {
+        cli::GatewayProfile {
             url: format!("http://{}", self.address),
             key: self.key.clone(),
             operator: "tester".into(),
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -22,7 +22,7 @@
 /// Longest wait for anything.
 pub const TIMEOUT: time::Duration = time::Duration::from_secs(60);
 /// Pause between looks.
-const LOOK_PAUSE: time::Duration = time::Duration::from_millis(20);
+const POLL_INTERVAL: time::Duration = time::Duration::from_millis(20);
 
 /// How large a fleet is.
 pub struct FleetSize {
@@ -267,7 +267,7 @@
             return found;
         }
         assert!(time::Instant::now() < deadline, "not in time: {what}");
-        thread::sleep(LOOK_PAUSE);
+        thread::sleep(POLL_INTERVAL);
     }
 }
 
@@ -301,7 +301,7 @@
     for number in 0..count {
         let result = &results[&format!("letter-{number}")];
         let message = &result["response"]["body"]["choices"][0]["message"]["content"];
-        let expected = jayhollow::smoke::expected_answer(&format!("letter {number}"), tokens);
+        let expected = jayhollow::smoke::expected_response(&format!("letter {number}"), tokens);
         assert_eq!(message.as_str(), Some(expected.as_str()));
     }
 }
--- a/tests/support/process.rs
+++ b/tests/support/process.rs
@@ -8,7 +8,7 @@
     thread, time,
 };
 
-use super::{LOOK_PAUSE, TIMEOUT};
+use super::{POLL_INTERVAL, TIMEOUT};
 
 /// A process of the fleet, killed when dropped.
 pub struct FleetProcess {
@@ -109,7 +109,7 @@
             if let Some(status) = self.child.try_wait().expect("the process can be looked at") {
                 return status.success();
             }
-            thread::sleep(LOOK_PAUSE);
+            thread::sleep(POLL_INTERVAL);
         }
         panic!("{} did not end in time", self.program);
     }
--- a/tests/whole_path.rs
+++ b/tests/whole_path.rs
@@ -14,9 +14,9 @@
         let answer = caller.post("/v1/chat/completions", support::chat(&content, 8, false));
         let answer = answer.expect("it is answered");
         let text = answer["choices"][0]["message"]["content"].as_str();
-        assert_eq!(text, Some(smoke::expected_answer(&content, 8).as_str()));
+        assert_eq!(text, Some(smoke::expected_response(&content, 8).as_str()));
         let (text, whole) = caller.stream(&content, 8).expect("it is streamed");
-        assert_eq!((text, whole), (smoke::expected_answer(&content, 8), true));
+        assert_eq!((text, whole), (smoke::expected_response(&content, 8), true));
         let echo = caller.post("/services/print/label", b"a label".to_vec());
         assert_eq!(echo.expect("it is echoed")["echo"], "a label");
         let models = caller.get("/v1/models").expect("models are listed");
