--- a/src/bench/limit_fleet/mod.rs
+++ b/src/bench/limit_fleet/mod.rs
@@ -156,7 +156,7 @@
 }
 
 /// Plays a plan with one way of keeping limits.
-pub fn play(
+pub fn simulate(
     plan: &LimitPlan,
     tolerance: &rate_limit::LimitTolerance,
     way: &mut dyn LimitWay,
@@ -268,7 +268,7 @@
                 traffic: time::Duration::from_secs(flags.seconds),
             };
             let mut way = pooled::PooledShares::new(&plan, &tolerance);
-            let shown = play(&plan, &tolerance, &mut way);
+            let shown = simulate(&plan, &tolerance, &mut way);
             worst = worst.max(shown.worst_window);
             print(&plan, &shown);
         }
--- a/src/bench/limit_fleet/pooled.rs
+++ b/src/bench/limit_fleet/pooled.rs
@@ -24,7 +24,7 @@
 struct GatewayState {
     run: ids::RunNumber,
     shares: ShareClock,
-    stock: TokenCache,
+    cache: TokenCache,
 }
 
 /// A fleet that keeps its limits by pooled shares.
@@ -72,7 +72,7 @@
 
     fn fresh_gateway() -> GatewayState {
         GatewayState {
-            run: ids::RunNumber::draw(),
+            run: ids::RunNumber::random(),
             ..GatewayState::default()
         }
     }
@@ -146,7 +146,9 @@
         let mut denial = Denial::Silent;
         let mut order = share_clock::quota_servers_of(id, &quota_servers);
         order.shuffle(&mut self.rng);
-        order.sort_by_key(|quota_server| !world.hears(gateway, self.number_of(quota_server)));
+        order.sort_by_key(|quota_server| {
+            !world.receives_from(gateway, self.number_of(quota_server))
+        });
         for quota_server in order {
             let number = self.number_of(&quota_server);
             self.messages += 1;
@@ -154,10 +156,10 @@
             if !world.reaches(gateway, number) {
                 continue;
             }
-            let wanted = self.gateways[gateway].stock.wanted(id, 1);
+            let wanted = self.gateways[gateway].cache.wanted(id, 1);
             match self.boards[number].grant(id, &self.limits[workspace], wanted, world.now()) {
                 Grant::Tokens(count) => {
-                    self.gateways[gateway].stock.put(id, count, world.now());
+                    self.gateways[gateway].cache.put(id, count, world.now());
                     return None;
                 }
                 Grant::Empty(wait) => denial = Denial::Exceeded(wait),
@@ -195,21 +197,21 @@
     ) -> RequestEnd {
         let now = world.now();
         let id = self.workspaces[workspace].clone();
-        self.gateways[gateway].stock.note_request(&id, now);
-        if !self.gateways[gateway].stock.spend(&id, now) {
-            let known = self.gateways[gateway].stock.denial(&id, now);
+        self.gateways[gateway].cache.record_request(&id, now);
+        if !self.gateways[gateway].cache.spend(&id, now) {
+            let known = self.gateways[gateway].cache.denial(&id, now);
             let denial = known.or_else(|| self.draw(world, gateway, workspace));
             if let Some(denial) = denial {
-                let stock = &mut self.gateways[gateway].stock;
+                let cache = &mut self.gateways[gateway].cache;
                 if known.is_none() {
-                    stock.note_denial(&id, denial, now);
+                    cache.record_denial(&id, denial, now);
                 }
                 return match denial {
                     Denial::Exceeded(_) => RequestEnd::Exceeded,
                     Denial::Silent => RequestEnd::Unchecked,
                 };
             }
-            self.gateways[gateway].stock.spend(&id, now);
+            self.gateways[gateway].cache.spend(&id, now);
         }
         RequestEnd::Admitted
     }
--- a/src/bench/limit_fleet/world.rs
+++ b/src/bench/limit_fleet/world.rs
@@ -131,7 +131,7 @@
     }
 
     /// Whether a keeper answered a probe of a gateway within [`ASK_SILENCE`].
-    pub fn hears(&self, gateway: usize, quota_server: usize) -> bool {
+    pub fn receives_from(&self, gateway: usize, quota_server: usize) -> bool {
         let heard = self.heard[gateway][quota_server];
         heard.is_some_and(|at| self.at - at < ASK_SILENCE)
     }
--- a/src/bench/overload.rs
+++ b/src/bench/overload.rs
@@ -25,7 +25,7 @@
 /// Loads, as parts of the capacity.
 const LOADS: [f64; 5] = [0.5, 1.0, 1.5, 2.0, 4.0];
 /// Places of an engine.
-const PLACES: usize = 16;
+const SLOTS: usize = 16;
 /// Online requests that an engine may hold, waiting ones included.
 const ONLINE: u32 = 24;
 /// Least and most tokens of an answer.
@@ -44,14 +44,14 @@
         workers: 1,
         engine: standin::engine_terms::EngineOptions {
             spec: standin::engine_model::EngineSpec {
-                max_running: PLACES,
+                max_running: SLOTS,
                 step_base_us: 20_000,
                 ..standin::engine_model::EngineSpec::default()
             },
             ..standin::engine_terms::EngineOptions::default()
         },
         batch: settings::dispatcher::BatchSettings {
-            engine_sequences: PLACES as u32,
+            engine_sequences: SLOTS as u32,
             engine_online: ONLINE,
             ..settings::dispatcher::BatchSettings::default()
         },
@@ -62,9 +62,9 @@
 /// Requests a second that the engines can answer, by their arithmetic.
 fn capacity(flags: &OverloadFlags) -> f64 {
     let spec = standin::engine_model::EngineSpec::default();
-    let step = 0.02 + spec.step_per_sequence_us as f64 * PLACES as f64 / 1e6;
+    let step = 0.02 + spec.step_per_sequence_us as f64 * SLOTS as f64 / 1e6;
     let mean_tokens = f64::from(TOKENS.0 + TOKENS.1) / 2.0;
-    flags.engines as f64 * PLACES as f64 / step / mean_tokens
+    flags.engines as f64 * SLOTS as f64 / step / mean_tokens
 }
 
 /// Runs the bench.
--- a/src/bench/placement.rs
+++ b/src/bench/placement.rs
@@ -21,7 +21,7 @@
     pub traces: u64,
     /// Places of all endpoints.
     #[arg(long, default_value_t = 144)]
-    pub places: usize,
+    pub slots: usize,
     /// Jobs a second, of ten items on the mean.
     #[arg(long, default_value_t = 1.03)]
     pub jobs: f64,
@@ -42,7 +42,7 @@
         Self {
             seed: 1,
             traces: 10,
-            places: 144,
+            slots: 144,
             jobs: 1.03,
             burst: 10.0,
             span_ms: 5_100,
@@ -122,7 +122,7 @@
     let mut end = TraceEnd::default();
     for now_ms in (0..END_MS).step_by(STEP_MS as usize) {
         finish_items(&mut items, now_ms, &mut estimate);
-        let free = flags.places.saturating_sub(online_at(now_ms));
+        let free = flags.slots.saturating_sub(online_at(now_ms));
         end.preempted += preempt(&mut items, free, now_ms);
         start_items(flags, policy, &mut items, free, now_ms, &estimate);
     }
@@ -144,7 +144,7 @@
         if item.spent_ms + now_ms.saturating_sub(started) >= item.span_ms {
             item.started_ms = None;
             item.done_ms = Some(now_ms);
-            estimate.note(item.span_ms);
+            estimate.record(item.span_ms);
         }
     }
 }
@@ -178,11 +178,11 @@
         .filter(|i| items[*i].started_ms.is_none() && items[*i].done_ms.is_none())
         .collect();
     waiting.sort_by_key(|i| {
-        let outlook = ItemTiming {
+        let timing = ItemTiming {
             due_ms: items[*i].arrived_ms + flags.due_ms,
             remaining_ms: estimate.remaining_ms(items[*i].spent_ms),
         };
-        policy.start_key(&outlook, now_ms)
+        policy.start_key(&timing, now_ms)
     });
     for index in waiting.into_iter().take(free.saturating_sub(running)) {
         items[index].started_ms = Some(now_ms);
--- a/src/bench/soak/admission_world.rs
+++ b/src/bench/soak/admission_world.rs
@@ -7,7 +7,7 @@
 use super::{Protection, SoakWorld, WorldTally};
 use crate::{clock, decisions::admission};
 
-const PLACES: u32 = 16;
+const SLOTS: u32 = 16;
 const TTL: time::Duration = time::Duration::from_secs(5);
 
 /// One endpoint's ledger against a plain account of what it granted.
@@ -39,9 +39,9 @@
         let spec = admission::AdmissionSpec {
             headroom: 2,
             policy,
-            max_sequences: PLACES,
-            max_online: 2 * PLACES,
-            fixed_streams: PLACES,
+            max_sequences: SLOTS,
+            max_online: 2 * SLOTS,
+            fixed_streams: SLOTS,
             slowdown_percent: 50,
             permit_ttl,
             start_spacing: time::Duration::from_micros(100),
@@ -64,7 +64,7 @@
         self.permits.retain(|_, expiry| *expiry > self.now);
         let held = self.permits.len() as u32;
         let grant = self.ledger.request_permit(self.next, self.now);
-        let full = held >= 2 * PLACES;
+        let full = held >= 2 * SLOTS;
         self.tally.check(grant.is_none() == full, || {
             format!("{held} permits are held and the grant was {grant:?}")
         });
@@ -81,16 +81,16 @@
         self.tally.check(grant.online == online, || {
             "the ledger miscounts permits".into()
         });
-        let crowded = online + self.streams.len() as u32 > PLACES && !self.streams.is_empty();
-        self.tally.check(!crowded || online > PLACES, || {
+        let crowded = online + self.streams.len() as u32 > SLOTS && !self.streams.is_empty();
+        self.tally.check(!crowded || online > SLOTS, || {
             "an online request waits behind a batch stream".into()
         });
         self.tally.end("permit");
     }
 
     fn start_streams(&mut self) {
-        let room = self.ledger.batch_room(self.now);
-        for _ in 0..room {
+        let free_slots = self.ledger.free_batch_slots(self.now);
+        for _ in 0..free_slots {
             if self.leaving {
                 self.tally
                     .check(false, || "room at a leaving endpoint".into());
@@ -113,7 +113,7 @@
         match rng.random_range(0..1000) {
             0..5 => {
                 self.tally.fault("burst");
-                (0..PLACES).for_each(|_| self.request());
+                (0..SLOTS).for_each(|_| self.request());
             }
             5..200 => self.request(),
             200..395 => {
@@ -143,7 +143,7 @@
                 if let Some(number) = self.streams.first().copied() {
                     let sequences = f64::from(self.ledger.online() + self.ledger.batch());
                     let gap = time::Duration::from_secs_f64(0.02 + 0.0003 * sequences);
-                    self.ledger.note_token(number, Some(gap));
+                    self.ledger.record_token(number, Some(gap));
                 }
             }
             _ => {
--- a/src/bench/soak/chunk_world.rs
+++ b/src/bench/soak/chunk_world.rs
@@ -249,7 +249,7 @@
             // A claim that was not won is let go.
             Waiting::Claim(..) => {}
             Waiting::Commit(chunk, planned) if took_effect => {
-                self.note_committed(number, chunk, &planned);
+                self.record_committed(number, chunk, &planned);
             }
             Waiting::Commit(chunk, planned) => {
                 let same = self.stored[chunk].revision == planned.revision.0;
@@ -260,7 +260,7 @@
                     let revision = self.stored[chunk].revision;
                     let work = self.dispatchers[number].chunks.get_mut(&chunk);
                     if let Some(work) = work {
-                        work.note_uncommitted(store::ObjectRevision(revision));
+                        work.record_uncommitted(store::ObjectRevision(revision));
                     }
                 } else if lost_for_good {
                     self.lose_chunk(number, chunk);
@@ -298,13 +298,18 @@
         self.dispatchers[number].chunks.insert(chunk, work);
     }
 
-    fn note_committed(&mut self, number: usize, chunk: usize, planned: &chunk_work::PlannedCommit) {
+    fn record_committed(
+        &mut self,
+        number: usize,
+        chunk: usize,
+        planned: &chunk_work::PlannedCommit,
+    ) {
         let revision = store::ObjectRevision(self.stored[chunk].revision);
         let dispatcher = &mut self.dispatchers[number];
         let Some(work) = dispatcher.chunks.get_mut(&chunk) else {
             return;
         };
-        if !work.note_committed(planned, revision, self.now) {
+        if !work.record_committed(planned, revision, self.now) {
             self.lose_chunk(number, chunk);
         }
     }
--- a/src/decisions/admission.rs
+++ b/src/decisions/admission.rs
@@ -188,16 +188,16 @@
 
     /// Batch streams that the endpoint may hold next to `online` requests.
     fn stream_limit(&self, online: u32) -> u32 {
-        let places = self.spec.max_sequences.saturating_sub(online);
+        let slots = self.spec.max_sequences.saturating_sub(online);
         match self.spec.policy {
             BatchPolicy::Off => 0,
             BatchPolicy::Uncontrolled => u32::MAX,
             BatchPolicy::Fixed => self.spec.fixed_streams,
-            BatchPolicy::FixedPreempt => self.spec.fixed_streams.min(places),
+            BatchPolicy::FixedPreempt => self.spec.fixed_streams.min(slots),
             BatchPolicy::Yielding => self.spec.fixed_streams.saturating_sub(online),
             BatchPolicy::Reserved if online > 0 => 0,
-            BatchPolicy::Reserved => places,
-            BatchPolicy::Adaptive => self.adaptive_limit(online).min(places),
+            BatchPolicy::Reserved => slots,
+            BatchPolicy::Adaptive => self.adaptive_limit(online).min(slots),
         }
     }
 
@@ -232,7 +232,7 @@
     }
 
     /// Batch streams that may start now, keeping room for the next burst.
-    pub fn batch_room(&mut self, now: clock::MonotonicTime) -> u32 {
+    pub fn free_batch_slots(&mut self, now: clock::MonotonicTime) -> u32 {
         self.expire(now);
         if self.leaving {
             return 0;
@@ -271,7 +271,7 @@
     }
 
     /// Notes a token of a batch stream and the time since the one before it.
-    pub fn note_token(&mut self, number: StreamNumber, gap: Option<time::Duration>) {
+    pub fn record_token(&mut self, number: StreamNumber, gap: Option<time::Duration>) {
         let sequences = self.online() + self.batch();
         if let Some(gap) = gap {
             self.model.observe(sequences, gap);
--- a/src/decisions/authentication.rs
+++ b/src/decisions/authentication.rs
@@ -6,7 +6,7 @@
     /// No newer desired state is known of, and the source is followed.
     Current,
     /// A newer desired state may be in force elsewhere.
-    Behind,
+    Stale,
 }
 
 /// Outcome for a request, with the workspace `W` that it is served for.
@@ -34,7 +34,7 @@
 }
 
 /// Decides on a request. `is_public`: its route needs no key.
-pub fn judge<W>(found: KeyMatch<W>, is_public: bool, view: KeyFreshness) -> KeyVerdict<W> {
+pub fn authenticate<W>(found: KeyMatch<W>, is_public: bool, view: KeyFreshness) -> KeyVerdict<W> {
     match (found, view) {
         (KeyMatch::Known(workspace), _) => KeyVerdict::Workspace(workspace),
         (KeyMatch::NoKey | KeyMatch::Unknown, _) if is_public => KeyVerdict::Anonymous,
@@ -42,6 +42,6 @@
             KeyVerdict::Unauthorized
         }
         // Callers give up at 401, but try another gateway at 503.
-        (KeyMatch::Unknown, KeyFreshness::Behind) => KeyVerdict::Undecided,
+        (KeyMatch::Unknown, KeyFreshness::Stale) => KeyVerdict::Undecided,
     }
 }
--- a/src/decisions/crash_ledger.rs
+++ b/src/decisions/crash_ledger.rs
@@ -94,7 +94,7 @@
 
 /// What one process tells another of a request.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct CrashNews {
+pub struct CrashUpdate {
     /// The request.
     pub digest: ids::RequestDigest,
     /// Crashes under it.
@@ -105,7 +105,7 @@
     pub age: time::Duration,
 }
 
-impl CrashNews {
+impl CrashUpdate {
     /// Crashes that count.
     pub fn count(&self) -> usize {
         self.crashes.difference(&self.cleared).count()
@@ -209,8 +209,8 @@
         self.last + FIRST_HOLD * growth
     }
 
-    fn news(&self, digest: ids::RequestDigest, now: clock::MonotonicTime) -> CrashNews {
-        CrashNews {
+    fn update(&self, digest: ids::RequestDigest, now: clock::MonotonicTime) -> CrashUpdate {
+        CrashUpdate {
             digest,
             crashes: self.crashes.keys().cloned().collect(),
             cleared: self.cleared.clone(),
@@ -276,7 +276,7 @@
 
 impl CrashLedger {
     /// Notes that an endpoint ended under a request that this process had sent there.
-    pub fn note_crash(&mut self, run: &CrashedRun, now: clock::MonotonicTime) -> CrashOutcome {
+    pub fn record_crash(&mut self, run: &CrashedRun, now: clock::MonotonicTime) -> CrashOutcome {
         if self.was_gone(run, now) {
             return CrashOutcome::Gone;
         }
@@ -315,7 +315,7 @@
 
     /// Notes that an endpoint ran a request to its end; says whether that clears it of
     /// crashes.
-    pub fn note_served(&mut self, digest: ids::RequestDigest, now: clock::MonotonicTime) -> bool {
+    pub fn record_served(&mut self, digest: ids::RequestDigest, now: clock::MonotonicTime) -> bool {
         self.served.put(digest, now);
         let is_blamed = self.records.get(&digest).is_some_and(|r| r.count() > 0);
         if is_blamed {
@@ -389,44 +389,48 @@
     }
 
     /// What is known of a request, for others.
-    pub fn news_of(
+    pub fn update_of(
         &self,
         digest: ids::RequestDigest,
         now: clock::MonotonicTime,
-    ) -> Option<CrashNews> {
+    ) -> Option<CrashUpdate> {
         let record = self.records.get(&digest)?;
-        Some(record.news(digest, now))
+        Some(record.update(digest, now))
     }
 
     /// All that is to be told.
-    pub fn copy(&self, now: clock::MonotonicTime) -> Vec<CrashNews> {
+    pub fn copy(&self, now: clock::MonotonicTime) -> Vec<CrashUpdate> {
         let told = self.records.iter().filter(|(_, record)| record.is_told);
-        told.map(|(digest, record)| record.news(*digest, now))
+        told.map(|(digest, record)| record.update(*digest, now))
             .collect()
     }
 
     /// Takes what another process knows; says whether that was new.
-    pub fn merge(&mut self, news: CrashNews, now: clock::MonotonicTime) -> bool {
-        let known = self.records.get(&news.digest);
-        let is_old = news.age + UNTOLD >= kept_for(&news);
-        if known.is_none() && (is_old || news.crashes.is_empty()) {
+    pub fn merge(&mut self, update: CrashUpdate, now: clock::MonotonicTime) -> bool {
+        let known = self.records.get(&update.digest);
+        let is_old = update.age + UNTOLD >= kept_for(&update);
+        if known.is_none() && (is_old || update.crashes.is_empty()) {
             return false;
         }
         let is_new = known.is_none_or(|known| {
-            let mut crashes = news.crashes.iter();
+            let mut crashes = update.crashes.iter();
             crashes.any(|mark| !known.crashes.contains_key(mark))
-                || !news.cleared.is_subset(&known.cleared)
+                || !update.cleared.is_subset(&known.cleared)
         });
         if !is_new {
             return false;
         }
-        let seen = now.before(news.age);
-        self.change(news.digest, now, |record| {
+        let seen = now.before(update.age);
+        self.change(update.digest, now, |record| {
             let is_first = record.crashes.is_empty();
-            for mark in news.crashes.into_iter().chain(news.cleared.iter().cloned()) {
+            for mark in update
+                .crashes
+                .into_iter()
+                .chain(update.cleared.iter().cloned())
+            {
                 record.crashes.entry(mark).or_insert(now);
             }
-            record.cleared.extend(news.cleared);
+            record.cleared.extend(update.cleared);
             record.last = match is_first {
                 true => seen,
                 false => record.last.max(seen),
@@ -509,8 +513,8 @@
 }
 
 /// How long what is told is known after the last crash.
-fn kept_for(news: &CrashNews) -> time::Duration {
-    match news.count() >= MAX_CRASHES {
+fn kept_for(update: &CrashUpdate) -> time::Duration {
+    match update.count() >= MAX_CRASHES {
         true => HELD_KEPT,
         false => OTHERS_KEPT,
     }
--- a/src/decisions/endpoint_backoff.rs
+++ b/src/decisions/endpoint_backoff.rs
@@ -44,7 +44,7 @@
     /// Leaves an endpoint out for a while; says whether it was in.
     ///
     /// A word that comes while it is out was sent before, and adds nothing.
-    pub fn note(
+    pub fn record(
         &mut self,
         id: &ids::EndpointId,
         now: clock::MonotonicTime,
--- a/src/decisions/health.rs
+++ b/src/decisions/health.rs
@@ -38,16 +38,16 @@
 }
 
 impl EndpointHealth {
-    fn note_failure(&mut self) {
+    fn record_failure(&mut self) {
         self.failing += (1.0 - self.failing) * OUTCOME_WEIGHT;
     }
 
-    fn note_silence(&mut self) {
+    fn record_silence(&mut self) {
         self.failing = self.failing.max(NEARLY_OUT);
-        self.note_failure();
+        self.record_failure();
     }
 
-    fn note_reporter(&mut self, reporter: &ids::InstanceId) {
+    fn record_reporter(&mut self, reporter: &ids::InstanceId) {
         if self.reporters.len() < LEAST_REPORTERS && !self.reporters.contains(reporter) {
             self.reporters.push(reporter.clone());
         }
@@ -82,7 +82,7 @@
 
 impl HealthTracker {
     /// Notes an attempt that the endpoint answered.
-    pub fn note_success(&mut self, id: &ids::EndpointId) {
+    pub fn record_success(&mut self, id: &ids::EndpointId) {
         if let Some(health) = self.endpoints.get_mut(id) {
             health.failing -= health.failing * OUTCOME_WEIGHT;
             health.reporters.clear();
@@ -91,24 +91,24 @@
     }
 
     /// Notes an attempt that failed; ejects when too many do.
-    pub fn note_failure(&mut self, id: &ids::EndpointId, now: clock::MonotonicTime) {
+    pub fn record_failure(&mut self, id: &ids::EndpointId, now: clock::MonotonicTime) {
         let health = self.endpoints.entry(id.clone()).or_default();
-        health.note_failure();
+        health.record_failure();
         health.eject_if_failing(now);
     }
 
     /// Notes a failure that another instance saw.
-    pub fn note_report(
+    pub fn record_report(
         &mut self,
         id: &ids::EndpointId,
         report: &FailureReport,
         now: clock::MonotonicTime,
     ) {
         let health = self.endpoints.entry(id.clone()).or_default();
-        health.note_reporter(&report.reporter);
+        health.record_reporter(&report.reporter);
         match report.is_silent {
-            true => health.note_silence(),
-            false => health.note_failure(),
+            true => health.record_silence(),
+            false => health.record_failure(),
         }
         if health.reporters.len() >= LEAST_REPORTERS {
             health.eject_if_failing(now);
@@ -116,9 +116,9 @@
     }
 
     /// Notes an endpoint that does not answer at all; ejects it at once.
-    pub fn note_silence(&mut self, id: &ids::EndpointId, now: clock::MonotonicTime) {
+    pub fn record_silence(&mut self, id: &ids::EndpointId, now: clock::MonotonicTime) {
         let health = self.endpoints.entry(id.clone()).or_default();
-        health.note_silence();
+        health.record_silence();
         health.eject_if_failing(now);
     }
 
--- a/src/decisions/job_order.rs
+++ b/src/decisions/job_order.rs
@@ -18,7 +18,7 @@
 
 impl JobOrder {
     /// Notes items that were taken up for a workspace.
-    pub fn note_served(&mut self, workspace: &ids::WorkspaceId, items: u32) {
+    pub fn record_served(&mut self, workspace: &ids::WorkspaceId, items: u32) {
         *self.served.entry(workspace.clone()).or_default() += u64::from(items);
     }
 
--- a/src/decisions/job_plan.rs
+++ b/src/decisions/job_plan.rs
@@ -81,14 +81,14 @@
     }
 
     /// Notes what became known of a chunk.
-    pub fn note(&mut self, chunk: ids::ChunkIndex, status: ChunkStatus) {
+    pub fn record(&mut self, chunk: ids::ChunkIndex, status: ChunkStatus) {
         if let Some(known) = self.status.get_mut(chunk.0 as usize) {
             *known = status;
         }
     }
 
     /// Notes the states of all chunks; those without a state are free.
-    pub fn note_all(
+    pub fn record_all(
         &mut self,
         states: &collections::BTreeMap<u32, chunk::ChunkState>,
         own: &ids::InstanceId,
@@ -108,14 +108,14 @@
     }
 
     /// Notes a look that told nothing.
-    pub fn note_look(&mut self, now: clock::MonotonicTime) {
+    pub fn record_look(&mut self, now: clock::MonotonicTime) {
         self.looked_at = Some(now);
         self.finished_own = false;
     }
 
     /// Notes that a chunk in hand was done; the last one asks for a look.
-    pub fn note_done(&mut self, chunk: ids::ChunkIndex) {
-        self.note(chunk, ChunkStatus::Done);
+    pub fn record_done(&mut self, chunk: ids::ChunkIndex) {
+        self.record(chunk, ChunkStatus::Done);
         self.finished_own = !self.status.contains(&ChunkStatus::Mine);
     }
 
--- a/src/decisions/lease.rs
+++ b/src/decisions/lease.rs
@@ -19,23 +19,23 @@
 /// Leases as one observer sees them.
 #[derive(Debug, Clone)]
 pub struct LeaseObserver {
-    lapse: time::Duration,
+    lease_timeout: time::Duration,
     leases: collections::BTreeMap<ids::InstanceId, ObservedLease>,
     ticked_at: clock::MonotonicTime,
 }
 
 impl LeaseObserver {
     /// An observer that takes an instance for gone after `lapse` without renewal.
-    pub fn new(lapse: time::Duration, now: clock::MonotonicTime) -> Self {
+    pub fn new(lease_timeout: time::Duration, now: clock::MonotonicTime) -> Self {
         Self {
-            lapse,
+            lease_timeout,
             leases: collections::BTreeMap::new(),
             ticked_at: now,
         }
     }
 
     /// Notes a record: `beat` differs at each renewal.
-    pub fn note(&mut self, id: &ids::InstanceId, beat: u64, leaving: bool) {
+    pub fn record(&mut self, id: &ids::InstanceId, beat: u64, leaving: bool) {
         let lease = self.leases.entry(id.clone()).or_insert(ObservedLease {
             beat,
             silent: time::Duration::ZERO,
@@ -61,7 +61,7 @@
             return;
         }
         // A gap longer than a lease means that this observer itself was paused.
-        if passed >= self.lapse {
+        if passed >= self.lease_timeout {
             return;
         }
         for lease in self.leases.values_mut() {
@@ -71,7 +71,9 @@
 
     /// Whether the instance renewed in time.
     pub fn is_live(&self, id: &ids::InstanceId) -> bool {
-        self.leases.get(id).is_some_and(|l| l.silent < self.lapse)
+        self.leases
+            .get(id)
+            .is_some_and(|l| l.silent < self.lease_timeout)
     }
 
     /// Whether the instance renewed in time and is not leaving.
@@ -81,7 +83,7 @@
 
     /// Instances whose records are so old that they may be swept.
     pub fn long_gone(&self) -> Vec<ids::InstanceId> {
-        let old = self.lapse * SWEEP_LAPSES;
+        let old = self.lease_timeout * SWEEP_LAPSES;
         let gone = self.leases.iter().filter(|(_, l)| l.silent >= old);
         gone.map(|(id, _)| id.clone()).collect()
     }
--- a/src/decisions/owner_order.rs
+++ b/src/decisions/owner_order.rs
@@ -21,7 +21,7 @@
     /// The instance.
     pub id: ids::InstanceId,
     /// Places that it said it can give.
-    pub room: u32,
+    pub free_slots: u32,
     /// Whether it is in the gateway's failure domain.
     pub is_same_domain: bool,
 }
@@ -40,7 +40,7 @@
 /// Spirakis, "Weighted random sampling with a reservoir", 2006).
 fn draw_key(owner: &OwnerCapacity, rng: &mut impl Rng) -> f64 {
     let chance: f64 = rng.random();
-    if owner.room == 0 {
+    if owner.free_slots == 0 {
         // Behind all with room, whose keys are above 0.
         return chance - 1.0;
     }
@@ -49,5 +49,5 @@
     } else {
         1.0
     };
-    chance.powf(1.0 / (f64::from(owner.room) * factor))
+    chance.powf(1.0 / (f64::from(owner.free_slots) * factor))
 }
--- a/src/decisions/queue_limit.rs
+++ b/src/decisions/queue_limit.rs
@@ -31,7 +31,7 @@
 
 impl HoldTimeEstimate {
     /// Notes a run that began in a free slot.
-    pub fn note(&mut self, hold: time::Duration) {
+    pub fn record(&mut self, hold: time::Duration) {
         let hold = hold.as_secs_f64();
         let mean = self.mean_s.unwrap_or(hold);
         self.mean_s = Some(mean + (hold - mean) * HOLD_WEIGHT);
@@ -55,7 +55,7 @@
 
 impl FirstEstimate {
     /// Notes the time to a first event.
-    pub fn note(&mut self, first: time::Duration) {
+    pub fn record(&mut self, first: time::Duration) {
         let first = first.as_secs_f64();
         let soon = self.soon_s.unwrap_or(first);
         let slower = soon + (first - soon) * SLOWER_WEIGHT;
--- a/src/decisions/rate_limits/token_cache.rs
+++ b/src/decisions/rate_limits/token_cache.rs
@@ -37,7 +37,7 @@
 }
 
 impl WorkspaceTokens {
-    fn note_demand(&mut self, now: clock::MonotonicTime) {
+    fn record_demand(&mut self, now: clock::MonotonicTime) {
         let passed = now.since(self.seen_at).as_secs_f64() / DEMAND_SPAN.as_secs_f64();
         self.demand = self.demand * (-passed).exp() + 1.0 / DEMAND_SPAN.as_secs_f64();
         self.seen_at = now;
@@ -58,8 +58,8 @@
 
 impl TokenCache {
     /// Notes a request of a workspace.
-    pub fn note_request(&mut self, workspace: &ids::WorkspaceId, now: clock::MonotonicTime) {
-        self.entry(workspace).note_demand(now);
+    pub fn record_request(&mut self, workspace: &ids::WorkspaceId, now: clock::MonotonicTime) {
+        self.entry(workspace).record_demand(now);
     }
 
     fn entry(&mut self, workspace: &ids::WorkspaceId) -> &mut WorkspaceTokens {
@@ -72,14 +72,14 @@
 
     /// Spends a token, if there is one.
     pub fn spend(&mut self, workspace: &ids::WorkspaceId, now: clock::MonotonicTime) -> bool {
-        let stock = self.entry(workspace);
-        stock.drop_expired(now);
-        let Some((_, count)) = stock.lots.front_mut() else {
+        let cache = self.entry(workspace);
+        cache.drop_expired(now);
+        let Some((_, count)) = cache.lots.front_mut() else {
             return false;
         };
         *count -= 1;
         if *count == 0 {
-            stock.lots.pop_front();
+            cache.lots.pop_front();
         }
         true
     }
@@ -99,17 +99,17 @@
         count: u32,
         asked_at: clock::MonotonicTime,
     ) {
-        let stock = self.entry(workspace);
-        stock.denied = None;
+        let cache = self.entry(workspace);
+        cache.denied = None;
         if count > 0 {
             let until = asked_at + GRANT_TTL;
-            let at = stock.lots.partition_point(|(other, _)| *other <= until);
-            stock.lots.insert(at, (until, count));
+            let at = cache.lots.partition_point(|(other, _)| *other <= until);
+            cache.lots.insert(at, (until, count));
         }
     }
 
     /// Notes that a workspace gets no tokens now.
-    pub fn note_denial(
+    pub fn record_denial(
         &mut self,
         workspace: &ids::WorkspaceId,
         denial: Denial,
@@ -134,7 +134,7 @@
 
     /// Forgets workspaces without requests since a moment.
     pub fn forget_idle(&mut self, since: clock::MonotonicTime) {
-        self.workspaces.retain(|_, stock| stock.seen_at >= since);
+        self.workspaces.retain(|_, cache| cache.seen_at >= since);
     }
 
     /// Number of workspaces that are not idle.
--- a/src/dispatcher/batch_planner.rs
+++ b/src/dispatcher/batch_planner.rs
@@ -107,7 +107,7 @@
             let Some(index) = plan.next_chunk(&job.id, self.context.id(), group, is_live) else {
                 return;
             };
-            plan.note(index, job_plan::ChunkStatus::Mine);
+            plan.record(index, job_plan::ChunkStatus::Mine);
             state.claiming.insert((job.id.clone(), index));
             drop(state);
             let Some(job) = snapshot.jobs.get(&job.id).cloned() else {
@@ -144,7 +144,7 @@
             }
         };
         if let Some(plan) = state.plans.get_mut(&key.0) {
-            plan.note(index, status);
+            plan.record(index, status);
         }
         drop(state);
         self.wake.notify_one();
@@ -181,9 +181,9 @@
             let now = runner.context.clock.now();
             if let Some(plan) = state.plans.get_mut(&job.id) {
                 match looked {
-                    Ok(chunks) => plan.note_all(&chunks, runner.context.id(), now),
+                    Ok(chunks) => plan.record_all(&chunks, runner.context.id(), now),
                     Err(e) => {
-                        plan.note_look(now);
+                        plan.record_look(now);
                         log::warn!("event=look_failed job={} why=\"{e}\"", job.id);
                     }
                 }
--- a/src/dispatcher/batch_runner.rs
+++ b/src/dispatcher/batch_runner.rs
@@ -135,7 +135,7 @@
     fn round(&self) {
         let snapshot = self.context.fleet.snapshot();
         let now = self.context.clock.now();
-        if !self.note_round(&snapshot, now) {
+        if !self.record_round(&snapshot, now) {
             return;
         }
         self.drop_ended(&snapshot);
@@ -147,9 +147,9 @@
     }
 
     /// Notices a long pause of the process; false until the service was read again.
-    fn note_round(&self, snapshot: &fleet::FleetSnapshot, now: clock::MonotonicTime) -> bool {
+    fn record_round(&self, snapshot: &fleet::FleetSnapshot, now: clock::MonotonicTime) -> bool {
         let mut state = self.state.borrow_mut();
-        if now.since(state.round_at) >= self.context.settings.pace.lapse() {
+        if now.since(state.round_at) >= self.context.settings.pace.lease_timeout() {
             log::warn!("event=paused ms={}", now.since(state.round_at).as_millis());
             state.paused_until_read = Some(now);
         }
@@ -192,12 +192,12 @@
 
     /// Starts items wherever an endpoint has room.
     fn start_items(&self) {
-        for (endpoint, room) in self.context.board.endpoints_with_room() {
+        for (endpoint, free_slots) in self.context.board.endpoints_with_free_slots() {
             let now = self.context.clock.now();
             if self.state.borrow().health.is_ejected(&endpoint.id, now) {
                 continue;
             }
-            for _ in 0..room {
+            for _ in 0..free_slots {
                 if !self.start_item(&endpoint) {
                     break;
                 }
@@ -225,7 +225,7 @@
             let context = &runner.context;
             let end = item_run::run(context, &runner.client, &item, &pending, stream).await;
             runner.state.borrow_mut().streams.remove(&running);
-            runner.note_end(&key, &work, &item, pending, &endpoint, end);
+            runner.record_end(&key, &work, &item, pending, &endpoint, end);
             runner.wake.notify_one();
         });
         true
@@ -252,7 +252,7 @@
                 let taken = work.borrow_mut().take_next(service);
                 if let Some(pending) = taken {
                     let found = (key.clone(), work.clone(), pending);
-                    state.order.note_served(&job.workspace, 1);
+                    state.order.record_served(&job.workspace, 1);
                     return Some(found);
                 }
             }
@@ -261,7 +261,7 @@
     }
 
     /// Notes how an attempt of an item ended.
-    fn note_end(
+    fn record_end(
         &self,
         key: &ChunkKey,
         work: &SharedChunk,
@@ -283,12 +283,12 @@
         let mut work = work.borrow_mut();
         let label = match end {
             item_run::ItemEnd::Settled(result) => {
-                self.state.borrow_mut().health.note_success(endpoint);
+                self.state.borrow_mut().health.record_success(endpoint);
                 work.settle(pending.index, &result);
                 "settled"
             }
             item_run::ItemEnd::NotRun => {
-                self.state.borrow_mut().health.note_failure(endpoint, now);
+                self.state.borrow_mut().health.record_failure(endpoint, now);
                 work.put_last(pending);
                 "not_run"
             }
@@ -361,7 +361,7 @@
             match commits::commit(&self.context, &job, key.1, &planned).await {
                 commits::CommitOutcome::Done(revision) => {
                     let now = self.context.clock.now();
-                    let held = work.borrow_mut().note_committed(&planned, revision, now);
+                    let held = work.borrow_mut().record_committed(&planned, revision, now);
                     if !held {
                         self.let_go(&key, work.borrow().is_done());
                     }
@@ -393,8 +393,8 @@
         held.remove(key);
         if let Some(plan) = state.plans.get_mut(&key.0) {
             match done {
-                true => plan.note_done(key.1),
-                false => plan.note(key.1, job_plan::ChunkStatus::Unknown),
+                true => plan.record_done(key.1),
+                false => plan.record(key.1, job_plan::ChunkStatus::Unknown),
             }
         }
     }
--- a/src/dispatcher/chunk_work.rs
+++ b/src/dispatcher/chunk_work.rs
@@ -339,7 +339,7 @@
     /// Notes that a planned commit was written.
     ///
     /// Gives whether the chunk is still in hand.
-    pub fn note_committed(
+    pub fn record_committed(
         &mut self,
         planned: &PlannedCommit,
         revision: store::ObjectRevision,
@@ -357,7 +357,7 @@
     }
 
     /// Notes that a planned commit was given up; it is planned anew on `revision`.
-    pub fn note_uncommitted(&mut self, revision: store::ObjectRevision) {
+    pub fn record_uncommitted(&mut self, revision: store::ObjectRevision) {
         self.committing = false;
         self.revision = revision;
     }
--- a/src/dispatcher/item_run.rs
+++ b/src/dispatcher/item_run.rs
@@ -215,7 +215,7 @@
             let endpoint = &self.stream.endpoint.id;
             self.context
                 .board
-                .note_token(endpoint, self.stream.number, gap);
+                .record_token(endpoint, self.stream.number, gap);
             self.text.push_str(&event.text);
             if event.last {
                 return Ok(self.text);
--- a/src/dispatcher/ledger_board.rs
+++ b/src/dispatcher/ledger_board.rs
@@ -97,7 +97,7 @@
         settings: &settings::dispatcher::BatchSettings,
     ) {
         let mut state = self.state();
-        if !state.note_seen(snapshot) {
+        if !state.record_seen(snapshot) {
             return;
         }
         let mut owned = collections::HashSet::new();
@@ -171,14 +171,16 @@
     }
 
     /// Endpoints that have room for a batch stream now.
-    pub fn endpoints_with_room(&self) -> Vec<(platform::EndpointRecord, u32)> {
+    pub fn endpoints_with_free_slots(&self) -> Vec<(platform::EndpointRecord, u32)> {
         let now = self.clock.now();
         let mut state = self.state();
-        let rooms = state.endpoints.values_mut().map(|owned| {
-            let room = owned.ledger.batch_room(now);
-            (owned.record.clone(), room)
+        let free_slots = state.endpoints.values_mut().map(|owned| {
+            let free_slots = owned.ledger.free_batch_slots(now);
+            (owned.record.clone(), free_slots)
         });
-        rooms.filter(|(_, room)| *room > 0).collect()
+        free_slots
+            .filter(|(_, free_slots)| *free_slots > 0)
+            .collect()
     }
 
     /// Services that this dispatcher owns a live endpoint of.
@@ -227,14 +229,14 @@
     }
 
     /// Notes a token of a batch stream.
-    pub fn note_token(
+    pub fn record_token(
         &self,
         endpoint: &ids::EndpointId,
         number: admission::StreamNumber,
         gap: Option<time::Duration>,
     ) {
         if let Some(owned) = self.state().endpoints.get_mut(endpoint) {
-            owned.ledger.note_token(number, gap);
+            owned.ledger.record_token(number, gap);
         }
     }
 
@@ -265,7 +267,7 @@
 
 impl BoardState {
     /// Notes what a snapshot holds; false if nothing changed that the board is made from.
-    fn note_seen(&mut self, snapshot: &fleet::FleetSnapshot) -> bool {
+    fn record_seen(&mut self, snapshot: &fleet::FleetSnapshot) -> bool {
         let seen = &self.seen;
         let same = sync::Arc::ptr_eq(&seen.endpoints, &snapshot.endpoints)
             && sync::Arc::ptr_eq(&seen.dispatchers, &snapshot.dispatchers)
--- a/src/fleet/model.rs
+++ b/src/fleet/model.rs
@@ -39,7 +39,7 @@
             endpoints: sync::Arc::default(),
             dispatchers: sync::Arc::default(),
             records: collections::BTreeMap::new(),
-            leases: lease::LeaseObserver::new(options.pace.lapse(), now),
+            leases: lease::LeaseObserver::new(options.pace.lease_timeout(), now),
             jobs: sync::Arc::default(),
             stops: collections::HashSet::new(),
             wanted: None,
@@ -69,7 +69,7 @@
     }
 
     /// In step with the service only with the newest accepted bundle in force.
-    pub(super) fn note_synced(&mut self) {
+    pub(super) fn record_synced(&mut self) {
         self.synced |= self.wanted.is_none();
     }
 
@@ -122,7 +122,7 @@
         // What cannot be read is not gone: the last record stays until its lease lapses.
         let read = serde_json::from_str::<InstanceRecord>(value);
         if let Some(record) = read.ok_or_log("instance_unreadable") {
-            self.leases.note(&id, record.beat, record.leaving);
+            self.leases.record(&id, record.beat, record.leaving);
             self.records.insert(id, record);
         }
     }
--- a/src/fleet/watcher.rs
+++ b/src/fleet/watcher.rs
@@ -88,7 +88,7 @@
             .borrow_mut()
             .take_answer(&answer, self.clock.now());
         self.fetch_wanted().await;
-        self.model.borrow_mut().note_synced();
+        self.model.borrow_mut().record_synced();
         self.publish();
     }
 
--- a/src/gateway/admit.rs
+++ b/src/gateway/admit.rs
@@ -6,12 +6,12 @@
 use crate::{decisions::workspace_limit, error, ids};
 
 /// A request's place in its workspace's share; given back when dropped.
-pub struct WorkspacePlace {
+pub struct WorkspaceSlot {
     context: sync::Arc<context::GatewayContext>,
     workspace: ids::WorkspaceId,
 }
 
-impl Drop for WorkspacePlace {
+impl Drop for WorkspaceSlot {
     fn drop(&mut self) {
         self.context.limits().end(&self.workspace);
     }
@@ -24,7 +24,7 @@
 pub fn admit(
     context: &sync::Arc<context::GatewayContext>,
     terms: &caller_request::CallerTerms,
-) -> error::ApiResult<WorkspacePlace> {
+) -> error::ApiResult<WorkspaceSlot> {
     let gateways = context.fleet.snapshot().gateways();
     let workspace = &terms.workspace;
     let share = workspace_limit::WorkspaceShare::of_fleet(
@@ -35,7 +35,7 @@
     let now = context.clock.now();
     let begun = context.limits().begin(&workspace.id, share, now);
     match begun {
-        Ok(()) => Ok(WorkspacePlace {
+        Ok(()) => Ok(WorkspaceSlot {
             context: context.clone(),
             workspace: workspace.id.clone(),
         }),
--- a/src/gateway/generation.rs
+++ b/src/gateway/generation.rs
@@ -20,7 +20,7 @@
     let body = caller_request::read_body(&mut request, limits.body_bytes, timeout).await?;
     let wanted: wire::GenerationRequest = caller_request::parse_json(&body)?;
     check(&wanted, request.path(), context)?;
-    let place = admit::admit(context, &terms)?;
+    let slot = admit::admit(context, &terms)?;
     let call = whole_call::WholeCall {
         affinity: routing::affinity_key(&wanted.model, &wanted.prompt_text()),
         service: wanted.model,
@@ -32,10 +32,10 @@
         repeatable: !terms.forbids_repeat,
     };
     if wanted.stream {
-        return stream_relay::serve(context, client, terms, call, place).await;
+        return stream_relay::serve(context, client, terms, call, slot).await;
     }
     let answer = whole_call::run_once(context, client, &terms, call).await?;
-    drop(place);
+    drop(slot);
     Ok(whole_call::to_http(&answer))
 }
 
--- a/src/gateway/router.rs
+++ b/src/gateway/router.rs
@@ -57,7 +57,7 @@
         let fits = context.begin_request();
         let guard = request.conn_data::<http_server::ConnectionGuard>();
         if let Some(guard) = guard {
-            guard.note_request();
+            guard.record_request();
         }
         let overloaded = |message| error::ApiError::not_run(error::ErrorCode::Overloaded, message);
         let refusal = if guard.is_some_and(|g| g.is_over) {
--- a/src/gateway/stream_relay.rs
+++ b/src/gateway/stream_relay.rs
@@ -55,7 +55,7 @@
     client: &awc::Client,
     terms: caller_request::CallerTerms,
     call: whole_call::WholeCall,
-    place: admit::WorkspacePlace,
+    slot: admit::WorkspaceSlot,
 ) -> error::ApiResult<http_server::HttpResponse> {
     let ticket = match terms.key.as_ref().filter(|_| !call.repeatable) {
         None => None,
@@ -83,7 +83,7 @@
     };
     actix_rt::spawn(async move {
         relay.run(ticket).await;
-        drop(place);
+        drop(slot);
     });
     match receiver.recv().await {
         Some(RelayItem::Piece(first)) => Ok(event_answer(first, receiver)),
@@ -222,7 +222,7 @@
         hold: &route::RouteHold,
         ended: outcome::AttemptOutcome<()>,
     ) -> error::ApiResult<()> {
-        whole_call::note(&self.context, hold, &ended);
+        whole_call::record(&self.context, hold, &ended);
         self.failed.insert(hold.endpoint.id.clone());
         if !matches!(ended, outcome::AttemptOutcome::NotRun(_)) {
             self.may_have_run = true;
@@ -357,7 +357,7 @@
                 return PumpEnd::CallerGone;
             }
             if self.cursor.is_finished() {
-                whole_call::note(&self.context, hold, &outcome::AttemptOutcome::Completed(()));
+                whole_call::record(&self.context, hold, &outcome::AttemptOutcome::Completed(()));
                 let spent = self.context.clock.now().since(self.started);
                 self.observe(&self.context.metrics.full_response, spent);
                 return PumpEnd::Finished;
--- a/src/gateway/whole_call.rs
+++ b/src/gateway/whole_call.rs
@@ -128,7 +128,7 @@
             metrics.observe(&metrics.queue_time, workspace, terms.class.as_str(), span);
         }
         let outcome = attempt(context, client, call, &hold, deadline).await;
-        note(context, &hold, &outcome);
+        record(context, &hold, &outcome);
         if !matches!(outcome, outcome::AttemptOutcome::NotRun(_)) {
             may_have_run = true;
         }
@@ -179,7 +179,7 @@
 }
 
 /// Notes an attempt's end in health, retry budget and metrics.
-pub fn note<T>(
+pub fn record<T>(
     context: &context::GatewayContext,
     hold: &route::RouteHold,
     outcome: &outcome::AttemptOutcome<T>,
@@ -187,23 +187,23 @@
     let id = &hold.endpoint.id;
     let label = match outcome {
         outcome::AttemptOutcome::Completed(_) => {
-            context.health().note_success(id);
+            context.health().record_success(id);
             context.retries().earn();
             "completed"
         }
         outcome::AttemptOutcome::NotRun(_) => {
-            context.health().note_failure(id, context.clock.now());
+            context.health().record_failure(id, context.clock.now());
             "not_run"
         }
         outcome::AttemptOutcome::Failed(_) => {
-            context.health().note_failure(id, context.clock.now());
+            context.health().record_failure(id, context.clock.now());
             "failed"
         }
         outcome::AttemptOutcome::Unknown(why) => {
             if why == endpoint_client::CROSSED {
                 context.metrics.crossed.inc();
             }
-            context.health().note_failure(id, context.clock.now());
+            context.health().record_failure(id, context.clock.now());
             "unknown"
         }
     };
--- a/src/http_server.rs
+++ b/src/http_server.rs
@@ -48,7 +48,7 @@
     }
 
     /// Notes that a whole head came.
-    pub fn note_request(&self) {
+    pub fn record_request(&self) {
         self.served.set(true);
     }
 }
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -199,7 +199,7 @@
 
 impl RunNumber {
     /// A number for a run that begins.
-    pub fn draw() -> Self {
+    pub fn random() -> Self {
         Self(rand::random())
     }
 }
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -69,7 +69,7 @@
     /// Deposits with the pools of this process, by what came of them.
     pub limit_deposits: prometheus::IntCounterVec,
     /// Places at owned endpoints that somebody has, by what for.
-    pub held_places: prometheus::IntGaugeVec,
+    pub held_slots: prometheus::IntGaugeVec,
 }
 
 fn register<C: Collector + Clone + 'static>(registry: &prometheus::Registry, metric: C) -> C {
@@ -192,7 +192,7 @@
             ),
             bundle_generation: gauge(r, "jayhollow_bundle_generation", "Bundle in use"),
             state_version: gauge(r, "jayhollow_state_version", "Desired state in force"),
-            held_places: gauges(
+            held_slots: gauges(
                 r,
                 "jayhollow_held_places",
                 "Places at owned endpoints that somebody has",
--- a/src/serving/attempt.rs
+++ b/src/serving/attempt.rs
@@ -178,7 +178,7 @@
         context
             .loads
             .borrow_mut()
-            .note_report(&endpoint.id, load, context.clock.now());
+            .record_report(&endpoint.id, load, context.clock.now());
     }
     let status = incoming.head.status;
     if notes.other_endpoint && notes.answered_by.as_deref() != Some(endpoint.id.as_str()) {
--- a/src/serving/attempt_flow.rs
+++ b/src/serving/attempt_flow.rs
@@ -4,7 +4,7 @@
 
 use futures::future::{self, FutureExt as _};
 
-use super::{attempt, connection, crash_watch, places, relay, search_pace, slow_attempt, wire};
+use super::{attempt, connection, crash_watch, relay, search_pace, slots, slow_attempt, wire};
 use crate::{clock, ids, outcome};
 
 /// Attempts that did not run, beyond which a request that never ran is given
@@ -60,14 +60,14 @@
 
 /// An attempt that went out, and whose head is awaited.
 pub(super) struct SentAttempt {
-    pub(super) place: places::HeldPlace,
+    pub(super) slot: slots::HeldSlot,
     pub(super) sending:
         future::LocalBoxFuture<'static, outcome::AttemptOutcome<attempt::OpenResponse>>,
 }
 
 /// The answer of an attempt, with the place that it holds.
 pub(super) struct Answered {
-    pub(super) place: places::HeldPlace,
+    pub(super) slot: slots::HeldSlot,
     pub(super) open: attempt::OpenResponse,
 }
 
@@ -99,9 +99,9 @@
             let current = match sent.take() {
                 Some(current) => *current,
                 None => {
-                    let place = self.find_place().await?;
-                    self.log.begin(&place.endpoint.id);
-                    self.start(place, None)
+                    let slot = self.find_slot().await?;
+                    self.log.begin(&slot.endpoint.id);
+                    self.start(slot, None)
                 }
             };
             match self.answer_of(current).await {
@@ -116,7 +116,7 @@
     ///
     /// A request that has begun to run is not given up for want of a place
     /// while its caller waits; a new one is refused at once.
-    async fn find_place(&mut self) -> Result<places::HeldPlace, relay::FinalError> {
+    async fn find_slot(&mut self) -> Result<slots::HeldSlot, relay::FinalError> {
         if self.log.ran > 0 && self.log.refused >= MAX_NOT_RUN {
             self.pause_search().await;
         }
@@ -128,9 +128,9 @@
                 let why = "endpoint after endpoint ended under it";
                 return Err(relay::FinalError::Failed(why.into()));
             }
-            match self.ask_for_place().await? {
-                Ok(place) => return Ok(place),
-                Err(why) if !self.may_search() => return Err(self.no_place(why)),
+            match self.request_slot().await? {
+                Ok(slot) => return Ok(slot),
+                Err(why) if !self.may_search() => return Err(self.slot_unavailable(why)),
                 Err(_) => {
                     self.log.tried.clear();
                     self.pause_search().await;
@@ -151,22 +151,22 @@
         tokio::time::sleep(pause).await;
     }
 
-    async fn ask_for_place(
+    async fn request_slot(
         &self,
-    ) -> Result<Result<places::HeldPlace, places::NoPlace>, relay::FinalError> {
+    ) -> Result<Result<slots::HeldSlot, slots::SlotUnavailable>, relay::FinalError> {
         let service = self.choose_service();
         let none = || relay::FinalError::Failed("the route has no service".into());
         let service = service.ok_or_else(none)?;
         let tried = &self.log.tried;
-        let request = places::PlaceRequest {
+        let request = slots::SlotParams {
             service: &service,
             tried,
             objective: self.request.route.objective,
         };
         // What has begun goes on, also where a new request would not begin.
         Ok(match self.log.ran > 0 {
-            true => places::any_place(&self.context, &request).await,
-            false => places::acquire(&self.context, &request).await,
+            true => slots::any_slot(&self.context, &request).await,
+            false => slots::acquire(&self.context, &request).await,
         })
     }
 
@@ -181,7 +181,7 @@
     }
 
     /// The final word if no place is left: true to what happened before.
-    fn no_place(&self, why: places::NoPlace) -> relay::FinalError {
+    fn slot_unavailable(&self, why: slots::SlotUnavailable) -> relay::FinalError {
         if self.log.ran > 0 {
             return relay::FinalError::Failed(format!("an attempt failed, then: {why}"));
         }
@@ -195,11 +195,11 @@
     /// one; it goes out when it is first awaited.
     pub(super) fn start(
         &self,
-        place: places::HeldPlace,
+        slot: slots::HeldSlot,
         opened: Option<connection::EndpointConnection>,
     ) -> SentAttempt {
         let context = self.context.clone();
-        let endpoint = place.endpoint.clone();
+        let endpoint = slot.endpoint.clone();
         let forwarded = self.request.forwarded.clone();
         let (left, resume_after) = (self.left(), self.last_event);
         let is_kept = self.log.is_kept.clone();
@@ -216,7 +216,7 @@
             .await
         };
         let sending = sending.boxed_local();
-        SentAttempt { place, sending }
+        SentAttempt { slot, sending }
     }
 
     /// The answer of an attempt, or of another that goes on in its place.
@@ -225,53 +225,53 @@
         use slow_attempt::Waited as W;
 
         loop {
-            let SentAttempt { place, sending } = &mut sent;
+            let SentAttempt { slot, sending } = &mut sent;
             let awaited = slow_attempt::Awaited::Head;
-            let outcome = match self.wait_or_move(place, awaited, sending).await {
+            let outcome = match self.wait_or_move(slot, awaited, sending).await {
                 W::Came(outcome) => outcome,
                 W::Lost(waited) => O::Unknown(no_answer(waited)),
                 W::Moved(next, waited) => {
                     self.log.ran += 1;
-                    let id = sent.place.endpoint.id.clone();
-                    self.note_attempt(&id, "unknown", &no_answer(waited));
+                    let id = sent.slot.endpoint.id.clone();
+                    self.record_attempt(&id, "unknown", &no_answer(waited));
                     sent = *next;
                     continue;
                 }
             };
-            return self.judge(sent.place, outcome);
+            return self.classify(sent.slot, outcome);
         }
     }
 
     /// Counts how an attempt ended; on failure says how to go on.
-    pub(super) fn judge(
+    pub(super) fn classify(
         &mut self,
-        place: places::HeldPlace,
+        slot: slots::HeldSlot,
         outcome: outcome::AttemptOutcome<attempt::OpenResponse>,
     ) -> Result<Answered, NextStep> {
         use outcome::AttemptOutcome as O;
 
-        let endpoint = place.endpoint.clone();
+        let endpoint = slot.endpoint.clone();
         match outcome {
             O::Completed(open) => {
                 self.log.ran += 1;
                 let status = open.incoming.head.status;
                 let again = attempt::is_failure(status) && self.attempts_left() > 0;
                 if attempt::is_failure(status) {
-                    place.note_failed(false);
+                    slot.record_failed(false);
                 }
                 if again && self.may_repeat() {
-                    self.note_attempt(&endpoint.id, "failed", status.as_str());
+                    self.record_attempt(&endpoint.id, "failed", status.as_str());
                     return Err(NextStep::Again);
                 }
                 self.log.end_search();
-                Ok(Answered { place, open })
+                Ok(Answered { slot, open })
             }
             O::NotRun(proof) => {
                 self.log.not_run += 1;
                 self.log.refused += 1;
                 let reason = proof.reason();
-                self.note_attempt(&endpoint.id, "not_run", &reason.to_string());
-                place.note_refused(reason);
+                self.record_attempt(&endpoint.id, "not_run", &reason.to_string());
+                slot.record_refused(reason);
                 if self.log.refused >= MAX_NOT_RUN && !self.may_search() {
                     return Err(NextStep::GiveUp(self.not_run()));
                 }
@@ -279,10 +279,10 @@
             }
             O::Failed(why) | O::Unknown(why) => {
                 self.log.ran += 1;
-                self.note_attempt(&endpoint.id, "unknown", &why);
-                self.watch_end(&place, false);
+                self.record_attempt(&endpoint.id, "unknown", &why);
+                self.watch_end(&slot, false);
                 // A full queue is silent too: only several in a row eject it.
-                place.note_failed(false);
+                slot.record_failed(false);
                 Err(self.after_unknown(why))
             }
         }
@@ -308,25 +308,25 @@
     }
 
     /// Notes an answer that broke off; whether its endpoint ended is found out beside it.
-    pub(super) fn note_broken(&self, place: &places::HeldPlace, outcome: &str, why: &str) {
-        self.note_attempt(&place.endpoint.id, outcome, why);
-        self.watch_end(place, true);
+    pub(super) fn record_broken(&self, slot: &slots::HeldSlot, outcome: &str, why: &str) {
+        self.record_attempt(&slot.endpoint.id, outcome, why);
+        self.watch_end(slot, true);
     }
 
     /// Has it found out whether the endpoint of a broken attempt ended.
-    fn watch_end(&self, place: &places::HeldPlace, has_head: bool) {
+    fn watch_end(&self, slot: &slots::HeldSlot, has_head: bool) {
         let run = crash_watch::CutRun {
             digest: self.request.forwarded.digest,
             id: self.request.terms.id.clone().unwrap_or_default(),
-            endpoint: place.endpoint.clone(),
-            begun: place.taken(),
+            endpoint: slot.endpoint.clone(),
+            begun: slot.taken(),
             has_head,
         };
         crash_watch::begin(&self.context, run);
     }
 
     /// One line and one count for an attempt that gave no answer.
-    pub(super) fn note_attempt(&self, id: &ids::EndpointId, outcome: &str, why: &str) {
+    pub(super) fn record_attempt(&self, id: &ids::EndpointId, outcome: &str, why: &str) {
         self.context
             .metrics
             .attempts
--- a/src/serving/context.rs
+++ b/src/serving/context.rs
@@ -113,7 +113,7 @@
     /// Who may own endpoints and jobs now.
     pub(super) owners: cell::RefCell<rc::Rc<Vec<ownership::OwnerCandidate>>>,
     /// Places that owners said they could give.
-    pub rooms: cell::RefCell<collections::HashMap<(ids::InstanceId, ids::ServiceName), u32>>,
+    pub free_slots: cell::RefCell<collections::HashMap<(ids::InstanceId, ids::ServiceName), u32>>,
     /// How soon first events of a service come.
     pub firsts: cell::RefCell<collections::HashMap<ids::ServiceName, queue_limit::FirstEstimate>>,
     /// What it said of itself last, and when.
@@ -176,7 +176,7 @@
             token_pools::PoolTable::new(options.member.id.clone(), options.tolerance, begun);
         let run = ids::InstanceRun {
             instance: options.member.id.clone(),
-            run: ids::RunNumber::draw(),
+            run: ids::RunNumber::random(),
         };
         Self {
             run,
@@ -197,7 +197,7 @@
             progress_queue: progress_transfer::ProgressQueue::default(),
             checkpoint_file: progress.file,
             owners: cell::RefCell::default(),
-            rooms: cell::RefCell::default(),
+            free_slots: cell::RefCell::default(),
             firsts: cell::RefCell::default(),
             last_hello: cell::RefCell::default(),
             owned_at: cell::Cell::new(None),
@@ -271,8 +271,8 @@
     }
 
     /// Whether a process answers this process itself.
-    pub fn hears(&self, id: &ids::InstanceId) -> bool {
-        self.members.borrow().hears(id, self.clock.now())
+    pub fn receives_from(&self, id: &ids::InstanceId) -> bool {
+        self.members.borrow().receives_from(id, self.clock.now())
     }
 
     /// Gateways through which a process that is cut off reaches the owners.
@@ -313,11 +313,11 @@
             version: self.fleet.table().version(),
             revision: self.fleet.revision(),
             digest: self.fleet.digest(),
-            hears: heard.iter().map(members::MemberMark::of).collect(),
+            receives_from: heard.iter().map(members::MemberMark::of).collect(),
             follows_store: self.fleet.is_following() && self.members_known.get(),
             members: members.digest(&self.options.member),
             crashes: self.crashes.number(),
-            rooms: self.permits.borrow().rooms(),
+            free_slots: self.permits.borrow().free_slots(),
             stamp: limit_messages::ClockStamp::of(now),
             deposit: None,
         }
--- a/src/serving/crash_guard.rs
+++ b/src/serving/crash_guard.rs
@@ -83,7 +83,7 @@
     }
 
     /// What is known, for a peer.
-    pub(super) fn copy(&self, now: clock::MonotonicTime) -> Vec<crash_ledger::CrashNews> {
+    pub(super) fn copy(&self, now: clock::MonotonicTime) -> Vec<crash_ledger::CrashUpdate> {
         self.ledger.borrow().copy(now)
     }
 }
@@ -117,12 +117,12 @@
 }
 
 /// Notes that an endpoint ended under a request, and tells the others.
-pub(super) fn note_crash(
+pub(super) fn record_crash(
     context: &rc::Rc<context::ProcessContext>,
     run: &crash_ledger::CrashedRun,
 ) -> crash_ledger::CrashOutcome {
     let now = context.clock.now();
-    let outcome = context.crashes.ledger.borrow_mut().note_crash(run, now);
+    let outcome = context.crashes.ledger.borrow_mut().record_crash(run, now);
     if let crash_ledger::CrashOutcome::Counted(count) = outcome {
         tell(context, run.digest);
         if count >= crash_ledger::MAX_CRASHES {
@@ -133,11 +133,11 @@
 }
 
 /// Notes that an endpoint ran a request to its end: it does not crash each that begins it.
-pub(super) fn note_served(context: &rc::Rc<context::ProcessContext>, digest: ids::RequestDigest) {
+pub(super) fn record_served(context: &rc::Rc<context::ProcessContext>, digest: ids::RequestDigest) {
     let now = context.clock.now();
     let mut ledger = context.crashes.ledger.borrow_mut();
     let was_held = ledger.is_blamed(digest);
-    let is_cleared = ledger.note_served(digest, now);
+    let is_cleared = ledger.record_served(digest, now);
     drop(ledger);
     if !is_cleared {
         return;
@@ -151,15 +151,15 @@
 
 /// Tells the owners what is known of a request; the others ask them.
 fn tell(context: &context::ProcessContext, digest: ids::RequestDigest) {
-    let news = context.crashes.ledger.borrow();
-    let Some(news) = news.news_of(digest, context.clock.now()) else {
+    let update = context.crashes.ledger.borrow();
+    let Some(update) = update.update_of(digest, context.clock.now()) else {
         return;
     };
     let owners = context.owners();
     let others = owners.iter().filter(|owner| owner.id != *context.id());
     for owner in others {
         if let Some(address) = context.members.borrow().address_of(&owner.id) {
-            context.links.crash_news(address, news.clone());
+            context.links.crash_news(address, update.clone());
         }
     }
 }
@@ -170,11 +170,11 @@
 /// owners, who are told of each, write down what is held back by all together.
 pub(super) fn take(
     context: &rc::Rc<context::ProcessContext>,
-    news: crash_ledger::CrashNews,
+    update: crash_ledger::CrashUpdate,
 ) -> bool {
-    let digest = news.digest;
+    let digest = update.digest;
     let was_held = context.crashes.is_blamed(digest);
-    let is_new = merge(context, news);
+    let is_new = merge(context, update);
     let now = context.clock.now();
     // Who has just started has seen nothing served, and blames what others know better.
     if context.crashes.ledger.borrow_mut().vouch(digest, now) {
@@ -190,12 +190,12 @@
 
 /// Joins what another process, or the store, knows with what is known here; says whether
 /// it was new.
-fn merge(context: &context::ProcessContext, news: crash_ledger::CrashNews) -> bool {
+fn merge(context: &context::ProcessContext, update: crash_ledger::CrashUpdate) -> bool {
     let now = context.clock.now();
-    let digest = news.digest;
+    let digest = update.digest;
     let mut ledger = context.crashes.ledger.borrow_mut();
     let was_held = ledger.is_blamed(digest);
-    let is_new = ledger.merge(news, now);
+    let is_new = ledger.merge(update, now);
     let is_held = ledger.is_blamed(digest);
     if was_held != is_held {
         let verdict = ledger.verdict(digest, now);
@@ -235,7 +235,9 @@
     context.links.settle(peer).await;
     let is_new = match context.links.crashes(peer, PULL_TIMEOUT).await {
         Ok(all) => {
-            let new = all.into_iter().filter(|news| take(&context, news.clone()));
+            let new = all
+                .into_iter()
+                .filter(|update| take(&context, update.clone()));
             let count = new.count();
             log::info!("event=crashes_from_peer peer={id} new={count}");
             count > 0
@@ -278,14 +280,14 @@
     let mut written = None;
     for earlier in 0..SAVE_TRIES {
         let now = context.clock.now();
-        let news = context.crashes.ledger.borrow().news_of(digest, now);
-        let Some(news) = news else { break };
-        let known = (news.crashes.len(), news.cleared.len());
+        let update = context.crashes.ledger.borrow().update_of(digest, now);
+        let Some(update) = update else { break };
+        let known = (update.crashes.len(), update.cleared.len());
         // Looked at again, as a crash may have come while the last write was under way.
         if written == Some(known) {
             break;
         }
-        match write(&context, news).await {
+        match write(&context, update).await {
             Ok(()) => written = Some(known),
             Err(e) => {
                 log::info!("event=held_request_unwritten digest={digest} why=\"{e}\"");
@@ -299,13 +301,13 @@
 
 async fn write(
     context: &context::ProcessContext,
-    news: crash_ledger::CrashNews,
+    update: crash_ledger::CrashUpdate,
 ) -> store::StoreResult<()> {
-    let key = key_of(news.digest);
-    let age = news.age.as_millis() as u64;
+    let key = key_of(update.digest);
+    let age = update.age.as_millis() as u64;
     let record = HeldRecord {
-        crashes: news.crashes,
-        cleared: news.cleared,
+        crashes: update.crashes,
+        cleared: update.cleared,
         last_ms: clock::epoch_ms().saturating_sub(age),
     };
     let value = store::encode(&record);
@@ -366,17 +368,17 @@
     match digest.and_then(|digest| Ok((digest, record?))) {
         Ok((digest, record)) => {
             let age_ms = clock::epoch_ms().saturating_sub(record.last_ms);
-            let news = crash_ledger::CrashNews {
+            let update = crash_ledger::CrashUpdate {
                 digest,
                 crashes: record.crashes,
                 cleared: record.cleared,
                 age: time::Duration::from_millis(age_ms),
             };
             // It was served since: nothing hangs on the record any more.
-            if news.count() < crash_ledger::MAX_CRASHES {
+            if update.count() < crash_ledger::MAX_CRASHES {
                 actix_rt::spawn(remove(context.clone(), digest));
             }
-            merge(context, news);
+            merge(context, update);
         }
         Err(e) => log::warn!(
             "event=held_request_unreadable key={} why=\"{e}\"",
--- a/src/serving/crash_watch.rs
+++ b/src/serving/crash_watch.rs
@@ -6,7 +6,7 @@
 
 use std::{io, rc, time};
 
-use super::{connection, context, crash_guard, directory, endpoint_news};
+use super::{connection, context, crash_guard, directory, endpoint_reports};
 use crate::{clock, decisions::crash_ledger, ids};
 
 /// Longest wait for the connection that asks whether somebody listens. A refusal comes
@@ -79,7 +79,7 @@
         }
     };
     if let Some(evidence) = evidence {
-        note_end(&context, &run, evidence);
+        record_end(&context, &run, evidence);
     }
 }
 
@@ -97,7 +97,7 @@
     true
 }
 
-fn note_end(context: &rc::Rc<context::ProcessContext>, run: &CutRun, evidence: EndEvidence) {
+fn record_end(context: &rc::Rc<context::ProcessContext>, run: &CutRun, evidence: EndEvidence) {
     let endpoint = ids::EndpointRun {
         endpoint: run.endpoint.id.clone(),
         started: run.endpoint.started,
@@ -107,7 +107,7 @@
         endpoint: endpoint.clone(),
         begun: run.begun,
     };
-    let outcome = crash_guard::note_crash(context, &crash);
+    let outcome = crash_guard::record_crash(context, &crash);
     let label = evidence.label();
     context.metrics.ended_runs.with_label_values(&[label]).inc();
     log::info!(
@@ -116,8 +116,8 @@
         run.digest,
     );
     if evidence == EndEvidence::Refused {
-        let news = endpoint_news::failure(context, true);
-        let nobody = endpoint_news::PlaceGiver::Nobody;
-        endpoint_news::note(context, &run.endpoint, nobody, news);
+        let observation = endpoint_reports::failure(context, true);
+        let nobody = endpoint_reports::SlotGrantor::Nobody;
+        endpoint_reports::record(context, &run.endpoint, nobody, observation);
     }
 }
--- a/src/serving/directory.rs
+++ b/src/serving/directory.rs
@@ -226,7 +226,7 @@
     /// Notes that nobody of this name is at an endpoint's address, as who is there
     /// says; it gets no work for a while, or until its entry is written again. Says
     /// whether that is new.
-    pub fn note_misnamed(
+    pub fn record_misnamed(
         &mut self,
         id: &ids::EndpointId,
         started: Option<ids::StartTime>,
@@ -236,7 +236,7 @@
         if known.is_none_or(|known| known.started != started) {
             return false;
         }
-        let is_new = self.misnamed.note(id, now, &mut rand::rng());
+        let is_new = self.misnamed.record(id, now, &mut rand::rng());
         if is_new {
             self.rebuild();
         }
@@ -244,7 +244,7 @@
     }
 
     /// Notes that an endpoint answered under its name; says whether that was in doubt.
-    pub fn note_named(&mut self, id: &ids::EndpointId) -> bool {
+    pub fn record_named(&mut self, id: &ids::EndpointId) -> bool {
         if !self.doubtful.contains(id) {
             return false;
         }
--- a/src/serving/endpoint_news.rs
+++ b/src/serving/endpoint_reports.rs
@@ -10,7 +10,7 @@
 
 /// Who gave the place at which something was seen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum PlaceGiver {
+pub(super) enum SlotGrantor {
     /// Nobody: it was taken on this process's own counts.
     Nobody,
     /// This process owns the endpoint.
@@ -20,8 +20,11 @@
 }
 
 /// A failure of an endpoint, as this process saw it.
-pub(super) fn failure(context: &context::ProcessContext, is_silent: bool) -> peers::EndpointNews {
-    peers::EndpointNews::Failed(health::FailureReport {
+pub(super) fn failure(
+    context: &context::ProcessContext,
+    is_silent: bool,
+) -> peers::EndpointObservation {
+    peers::EndpointObservation::Failed(health::FailureReport {
         reporter: context.id().clone(),
         is_silent,
     })
@@ -31,23 +34,23 @@
 pub(super) fn of_refusal(
     context: &context::ProcessContext,
     reason: outcome::NotRunReason,
-) -> Option<peers::EndpointNews> {
+) -> Option<peers::EndpointObservation> {
     use outcome::NotRunReason as R;
 
     match reason {
         R::NeverConnected => Some(failure(context, true)),
-        R::RefusedByEndpoint => Some(peers::EndpointNews::Full),
-        R::OtherEndpoint => Some(peers::EndpointNews::Misnamed),
+        R::RefusedByEndpoint => Some(peers::EndpointObservation::Full),
+        R::OtherEndpoint => Some(peers::EndpointObservation::Misnamed),
         R::NeverSent => None,
     }
 }
 
 /// Takes what was seen at an endpoint, and tells it to who gave the place there.
-pub(super) fn note(
+pub(super) fn record(
     context: &context::ProcessContext,
     endpoint: &directory::EndpointEntry,
-    giver: PlaceGiver,
-    news: peers::EndpointNews,
+    grantor: SlotGrantor,
+    observation: peers::EndpointObservation,
 ) {
     let directory = context.fleet.directory.borrow();
     let is_outdated = directory.has_other_start(&endpoint.id, endpoint.started);
@@ -56,34 +59,36 @@
         // It was seen at a run that has ended.
         return;
     }
-    take(context, endpoint, &news);
+    take(context, endpoint, &observation);
     let report = peers::EndpointReport {
         endpoint: endpoint.id.clone(),
         started: endpoint.started,
-        news,
+        observation,
     };
-    match giver {
-        PlaceGiver::Nobody => {}
-        PlaceGiver::Here => peer_calls::take_report(context, &report),
-        PlaceGiver::Peer(owner) => context.links.report(owner, report),
+    match grantor {
+        SlotGrantor::Nobody => {}
+        SlotGrantor::Here => peer_calls::take_report(context, &report),
+        SlotGrantor::Peer(owner) => context.links.report(owner, report),
     }
 }
 
 fn take(
     context: &context::ProcessContext,
     endpoint: &directory::EndpointEntry,
-    news: &peers::EndpointNews,
+    observation: &peers::EndpointObservation,
 ) {
     let now = context.clock.now();
     let mut loads = context.loads.borrow_mut();
-    match news {
-        peers::EndpointNews::Failed(failure) if failure.is_silent => {
-            loads.health.note_silence(&endpoint.id, now);
+    match observation {
+        peers::EndpointObservation::Failed(failure) if failure.is_silent => {
+            loads.health.record_silence(&endpoint.id, now);
         }
-        peers::EndpointNews::Failed(_) => loads.health.note_failure(&endpoint.id, now),
-        peers::EndpointNews::Full => loads.note_full(endpoint, now),
-        peers::EndpointNews::Misnamed => {
-            context.fleet.note_misnamed(&endpoint.id, endpoint.started);
+        peers::EndpointObservation::Failed(_) => loads.health.record_failure(&endpoint.id, now),
+        peers::EndpointObservation::Full => loads.record_full(endpoint, now),
+        peers::EndpointObservation::Misnamed => {
+            context
+                .fleet
+                .record_misnamed(&endpoint.id, endpoint.started);
         }
     }
 }
--- a/src/serving/event_flow.rs
+++ b/src/serving/event_flow.rs
@@ -40,14 +40,14 @@
                 return self.other_answer(answered).await;
             }
             let mut splitter = event_split::EventSplitter::default();
-            let attempt_flow::Answered { place, open } = &mut answered;
+            let attempt_flow::Answered { slot, open } = &mut answered;
             let waiting = next_event(&mut open.incoming, &mut splitter);
             let awaited = slow_attempt::Awaited::FirstEvent;
-            let first = match self.wait_or_move(place, awaited, waiting).await {
+            let first = match self.wait_or_move(slot, awaited, waiting).await {
                 Waited::Came(end) => self.accept(end),
                 Waited::Lost(waited) => EventEnd::Cut(no_event(waited)),
                 Waited::Moved(next, waited) => {
-                    self.note_attempt(&place.endpoint.id, "cut", &no_event(waited));
+                    self.record_attempt(&slot.endpoint.id, "cut", &no_event(waited));
                     sent = Some(next);
                     continue;
                 }
@@ -56,8 +56,8 @@
                 EventEnd::Event(event) => Some(event),
                 EventEnd::Finished => None,
                 EventEnd::Cut(why) => {
-                    self.note_broken(place, "cut", &why);
-                    place.note_failed(false);
+                    self.record_broken(slot, "cut", &why);
+                    slot.record_failed(false);
                     match self.after_unknown(why) {
                         attempt_flow::NextStep::GiveUp(e) => return Err(e),
                         attempt_flow::NextStep::Again => continue,
@@ -117,7 +117,7 @@
         answer_copy::copy_headers(&self.context, &head, &mut answer);
         self.mark_close(&mut answer);
         self.started = true;
-        open.answered.place.note_served();
+        open.answered.slot.record_served();
         self.observe_first();
         let flow = EventFlow {
             relay: self,
@@ -145,7 +145,7 @@
 impl Drop for EventFlow {
     fn drop(&mut self) {
         if !self.is_over {
-            self.relay.note_end("caller_left", 0);
+            self.relay.record_end("caller_left", 0);
         }
     }
 }
@@ -158,18 +158,15 @@
             if let Some(first) = open.first.take() {
                 return Some(Ok(first.bytes));
             }
-            let attempt_flow::Answered {
-                place,
-                open: answer,
-            } = &mut open.answered;
+            let attempt_flow::Answered { slot, open: answer } = &mut open.answered;
             let waiting = next_event(&mut answer.incoming, &mut open.splitter);
             let awaited = slow_attempt::Awaited::NextEvent;
-            let next = match self.relay.wait_or_move(place, awaited, waiting).await {
+            let next = match self.relay.wait_or_move(slot, awaited, waiting).await {
                 Waited::Came(end) => self.relay.accept(end),
                 Waited::Lost(waited) => EventEnd::Cut(no_event(waited)),
                 Waited::Moved(next, waited) => {
                     let why = no_event(waited);
-                    self.relay.note_attempt(&place.endpoint.id, "cut", &why);
+                    self.relay.record_attempt(&slot.endpoint.id, "cut", &why);
                     self.open = None;
                     if let Err(why) = self.resume(Some(next)).await {
                         return Some(Err(self.give_up(&why)));
@@ -179,7 +176,7 @@
             };
             match next {
                 EventEnd::Event(event) => {
-                    place.note_going_on();
+                    slot.record_progress();
                     return Some(Ok(event.bytes));
                 }
                 EventEnd::Finished => {
@@ -187,12 +184,12 @@
                         self.relay.give_back(open.answered);
                     }
                     self.is_over = true;
-                    self.relay.note_end(ANSWERED, StatusCode::OK.as_u16());
+                    self.relay.record_end(ANSWERED, StatusCode::OK.as_u16());
                     return None;
                 }
                 EventEnd::Cut(why) => {
-                    self.relay.note_broken(place, "cut", &why);
-                    place.note_failed(true);
+                    self.relay.record_broken(slot, "cut", &why);
+                    slot.record_failed(true);
                     self.open = None;
                     if let Err(why) = self.go_on_after(why).await {
                         return Some(Err(self.give_up(&why)));
@@ -211,7 +208,7 @@
             relay.left().as_millis(),
         );
         self.is_over = true;
-        relay.note_end("cut", 0);
+        relay.record_end("cut", 0);
         io::Error::other(why.to_owned())
     }
 
--- a/src/serving/fleet_model.rs
+++ b/src/serving/fleet_model.rs
@@ -174,10 +174,10 @@
     }
 
     /// Takes news, from the source or a peer.
-    pub fn take(&self, news: fleet_source::FleetUpdate) {
+    pub fn take(&self, update: fleet_source::FleetUpdate) {
         use fleet_source::FleetUpdate as N;
 
-        match news {
+        match update {
             N::State(state) => self.take_state(state),
             N::Endpoints(revision, entries) => {
                 let number = revision.saturating_mul(LISTS_PER_REVISION);
@@ -205,7 +205,7 @@
                 let number = revision.saturating_mul(LISTS_PER_REVISION);
                 self.take_changes(number, changes, self.change_terms());
             }
-            N::Reachable(reachable) => self.note_reachable(reachable),
+            N::Reachable(reachable) => self.record_reachable(reachable),
             N::Answered => self.answered_at.set(Some(self.clock.now())),
             N::Returned => self.returned.notify_waiters(),
             N::Unreadable => self.unreadable.set(self.unreadable.get() + 1),
@@ -233,7 +233,7 @@
             let revision = number / LISTS_PER_REVISION;
             log::info!("event=endpoints_listed revision={revision} count={count}");
             self.directory.borrow_mut().apply(changes, terms);
-            self.note_number(number);
+            self.record_number(number);
             return;
         }
         self.take_changes(number, changes, terms);
@@ -251,10 +251,10 @@
             log::info!("event=endpoint_changed revision={revision} {change}");
         }
         self.directory.borrow_mut().apply(changes, terms);
-        self.note_number(number);
+        self.record_number(number);
     }
 
-    fn note_number(&self, number: u64) {
+    fn record_number(&self, number: u64) {
         self.number.set(self.number.get().max(number));
         self.changes.send_modify(|n| *n += 1);
     }
@@ -270,7 +270,7 @@
         self.changes.send_modify(|n| *n += 1);
     }
 
-    fn note_reachable(&self, reachable: bool) {
+    fn record_reachable(&self, reachable: bool) {
         let before = self.is_answering.replace(reachable);
         let now = self.clock.now();
         if reachable != before {
@@ -279,7 +279,7 @@
         match (before, reachable) {
             (true, false) => self.away_since.set(Some(now)),
             (false, false) if self.away_since.get().is_none() => self.away_since.set(Some(now)),
-            (false, true) => self.note_return(now),
+            (false, true) => self.record_return(now),
             _ => {}
         }
         if reachable {
@@ -288,7 +288,7 @@
     }
 
     /// Notes that the source answers again, or for the first time.
-    fn note_return(&self, now: clock::MonotonicTime) {
+    fn record_return(&self, now: clock::MonotonicTime) {
         let is_long = |since: &clock::MonotonicTime| now.since(*since) >= LONG_ABSENCE;
         let away_since = self.away_since.get();
         // It may have been away since its last answer, if there was one.
@@ -336,7 +336,7 @@
         drop(directory);
         if is_over || is_taken {
             // Peers that took the entries over take only what is newer.
-            self.note_number(self.number.get() + 1);
+            self.record_number(self.number.get() + 1);
         } else if is_retried {
             self.changes.send_modify(|n| *n += 1);
         }
@@ -344,9 +344,12 @@
 
     /// Notes that somebody else answered at an endpoint's address: it gets no work for
     /// a while, or until its entry is written again.
-    pub fn note_misnamed(&self, id: &ids::EndpointId, started: Option<ids::StartTime>) {
+    pub fn record_misnamed(&self, id: &ids::EndpointId, started: Option<ids::StartTime>) {
         let now = self.clock.now();
-        let is_new = self.directory.borrow_mut().note_misnamed(id, started, now);
+        let is_new = self
+            .directory
+            .borrow_mut()
+            .record_misnamed(id, started, now);
         if is_new {
             log::warn!("event=endpoint_misnamed endpoint={id} outcome=left_out");
             self.changes.send_modify(|n| *n += 1);
@@ -354,8 +357,8 @@
     }
 
     /// Notes that an endpoint answered under its name.
-    pub fn note_named(&self, id: &ids::EndpointId) {
-        if self.directory.borrow_mut().note_named(id) {
+    pub fn record_named(&self, id: &ids::EndpointId) {
+        if self.directory.borrow_mut().record_named(id) {
             log::info!("event=endpoint_named endpoint={id}");
             self.changes.send_modify(|n| *n += 1);
         }
--- a/src/serving/item_run.rs
+++ b/src/serving/item_run.rs
@@ -5,8 +5,8 @@
 use futures::future;
 
 use super::{
-    attempt, connection, context, crash_guard, crash_watch, directory, endpoint_news, event_split,
-    job_board, open_job, peers, wire,
+    attempt, connection, context, crash_guard, crash_watch, directory, endpoint_reports,
+    event_split, job_board, open_job, peers, wire,
 };
 use crate::{
     clock,
@@ -85,15 +85,15 @@
         };
         self.context.jobs.end_stream(&key);
         self.job.borrow_mut().streams.remove(&key);
-        self.leave_place();
+        self.release_slot();
         match end {
-            RunEnd::Cut(_) if self.last_event() == before => self.note_fruitless(taken),
+            RunEnd::Cut(_) if self.last_event() == before => self.record_fruitless(taken),
             RunEnd::Completed | RunEnd::Impossible | RunEnd::Failed => {
-                crash_guard::note_served(&self.context, self.digest());
+                crash_guard::record_served(&self.context, self.digest());
             }
             RunEnd::Cut(_) | RunEnd::NotRun(_) | RunEnd::Preempted => {}
         }
-        self.note_span(begun.elapsed(), &end);
+        self.record_span(begun.elapsed(), &end);
         self.settle(end);
         self.context.jobs.work.notify_one();
     }
@@ -112,7 +112,7 @@
     ///
     /// An item that gets on is none that ends its endpoints: it runs for seconds, and
     /// is often beside one that does.
-    fn note_fruitless(&self, begun: clock::MonotonicTime) {
+    fn record_fruitless(&self, begun: clock::MonotonicTime) {
         let run = crash_watch::CutRun {
             digest: self.digest(),
             id: self.job.borrow().record.items[self.index].id.clone(),
@@ -124,18 +124,18 @@
     }
 
     /// Notes how long the run held its place, and at the item's end how long all did.
-    fn note_span(&self, span: time::Duration, end: &RunEnd) {
+    fn record_span(&self, span: time::Duration, end: &RunEnd) {
         let mut job = self.job.borrow_mut();
         let progress = &mut job.items[self.index];
         progress.spent += span;
         if *end == RunEnd::Completed {
             let spent = progress.spent;
-            self.context.jobs.note_span(&self.endpoint.service, spent);
+            self.context.jobs.record_span(&self.endpoint.service, spent);
         }
     }
 
-    fn leave_place(&self) {
-        let slot = peers::LentSlot {
+    fn release_slot(&self) {
+        let slot = peers::BorrowedSlot {
             endpoint: self.endpoint.id.clone(),
             number: self.number,
         };
@@ -235,7 +235,7 @@
                             return RunEnd::Cut(format!("event {} after {last:?}", event.id));
                         }
                         if last == resumed_after {
-                            self.context.fleet.note_named(&self.endpoint.id);
+                            self.context.fleet.record_named(&self.endpoint.id);
                         }
                         last = Some(event.id);
                         if !self.take_event(&event) {
@@ -278,29 +278,29 @@
     }
 
     /// Takes what the run says of its endpoint, and tells the owner of it.
-    fn note_endpoint(&self, end: &RunEnd) {
+    fn record_endpoint(&self, end: &RunEnd) {
         let context = &self.context;
-        let news = match end {
+        let observation = match end {
             RunEnd::Completed => {
                 let mut loads = context.loads.borrow_mut();
-                loads.health.note_success(&self.endpoint.id);
+                loads.health.record_success(&self.endpoint.id);
                 drop(loads);
                 let mut permits = context.permits.borrow_mut();
-                return permits.note_served(&self.endpoint.id);
+                return permits.record_served(&self.endpoint.id);
             }
-            RunEnd::Cut(_) => Some(endpoint_news::failure(context, true)),
+            RunEnd::Cut(_) => Some(endpoint_reports::failure(context, true)),
             RunEnd::NotRun(reason) => {
-                endpoint_news::count_refusal(context, *reason);
-                endpoint_news::of_refusal(context, *reason)
+                endpoint_reports::count_refusal(context, *reason);
+                endpoint_reports::of_refusal(context, *reason)
             }
             RunEnd::Impossible | RunEnd::Failed | RunEnd::Preempted => None,
         };
-        let giver = match self.lender {
-            None => endpoint_news::PlaceGiver::Here,
-            Some(lender) => endpoint_news::PlaceGiver::Peer(lender),
+        let grantor = match self.lender {
+            None => endpoint_reports::SlotGrantor::Here,
+            Some(lender) => endpoint_reports::SlotGrantor::Peer(lender),
         };
-        if let Some(news) = news {
-            endpoint_news::note(context, &self.endpoint, giver, news);
+        if let Some(observation) = observation {
+            endpoint_reports::record(context, &self.endpoint, grantor, observation);
         }
     }
 
@@ -318,7 +318,7 @@
             .batch_items
             .with_label_values(&[label])
             .inc();
-        self.note_endpoint(&end);
+        self.record_endpoint(&end);
         let mut job = self.job.borrow_mut();
         log::info!(
             "event=item_run job={} item={} endpoint={} end=\"{end:?}\" last_event={:?}",
--- a/src/serving/job_board.rs
+++ b/src/serving/job_board.rs
@@ -66,13 +66,13 @@
     }
 
     /// Notes the marks of ended jobs that a watch brought.
-    pub fn note_ended(&self, ids: impl Iterator<Item = ids::JobId>) {
+    pub fn record_ended(&self, ids: impl Iterator<Item = ids::JobId>) {
         let mut ended = self.ended.borrow_mut();
         ended.get_or_insert_default().extend(ids);
     }
 
     /// Notes one end that a peer or a caller told.
-    pub fn note_end(&self, id: &ids::JobId) {
+    pub fn record_end(&self, id: &ids::JobId) {
         if let Some(ended) = self.ended.borrow_mut().as_mut() {
             ended.insert(id.clone());
         }
@@ -101,10 +101,10 @@
     }
 
     /// Notes how long an item held places, from its first run to its end.
-    pub fn note_span(&self, service: &ids::ServiceName, span: time::Duration) {
+    pub fn record_span(&self, service: &ids::ServiceName, span: time::Duration) {
         let mut spans = self.spans.borrow_mut();
         let estimate = spans.entry(service.clone()).or_default();
-        estimate.note(span.as_millis() as u64);
+        estimate.record(span.as_millis() as u64);
     }
 
     /// How long an item needs that held places for a while; nothing while it is not known.
--- a/src/serving/job_calls.rs
+++ b/src/serving/job_calls.rs
@@ -167,7 +167,7 @@
     if owner == *context.id() {
         return None;
     }
-    if !context.hears(&owner) {
+    if !context.receives_from(&owner) {
         let relay = context.relays().into_iter().next()?;
         return Some((relay.id, relay.address));
     }
--- a/src/serving/job_checkpoints.rs
+++ b/src/serving/job_checkpoints.rs
@@ -66,12 +66,12 @@
 }
 
 impl ToldItem {
-    pub(super) fn of(news: &ItemCheckpoint) -> Self {
+    pub(super) fn of(update: &ItemCheckpoint) -> Self {
         Self {
-            index: news.index,
-            chain: news.chain,
-            events: news.skipped + news.events.len(),
-            is_result: news.state.is_some(),
+            index: update.index,
+            chain: update.chain,
+            events: update.skipped + update.events.len(),
+            is_result: update.state.is_some(),
         }
     }
 }
@@ -93,32 +93,33 @@
     }
 
     /// Takes progress of an item; says whether it is kept.
-    fn take(&mut self, news: ItemCheckpoint) -> bool {
-        if news.state.is_some() {
-            self.items.insert(news.index, news);
+    fn take(&mut self, update: ItemCheckpoint) -> bool {
+        if update.state.is_some() {
+            self.items.insert(update.index, update);
             return true;
         }
-        let known = self.items.get_mut(&news.index);
+        let known = self.items.get_mut(&update.index);
         if known.as_ref().is_some_and(|k| k.state.is_some()) {
             return true;
         }
         let known_events = known.as_ref().map_or(0, |k| k.events.len());
-        if news.skipped == 0 {
-            let is_further = news.events.len() > known_events;
+        if update.skipped == 0 {
+            let is_further = update.events.len() > known_events;
             if is_further {
-                self.items.insert(news.index, news);
+                self.items.insert(update.index, update);
             }
             return is_further;
         }
-        let fits = |k: &&mut ItemCheckpoint| k.chain == news.chain && news.skipped <= known_events;
+        let fits =
+            |k: &&mut ItemCheckpoint| k.chain == update.chain && update.skipped <= known_events;
         let Some(known) = known.filter(fits) else {
             return false;
         };
-        known.events.truncate(news.skipped);
-        known.events.extend(news.events);
-        known.last_event = news.last_event;
-        known.spent = news.spent;
-        known.failures = news.failures;
+        known.events.truncate(update.skipped);
+        known.events.extend(update.events);
+        known.last_event = update.last_event;
+        known.spent = update.spent;
+        known.failures = update.failures;
         true
     }
 }
@@ -134,19 +135,19 @@
 impl CheckpointBoard {
     /// Takes the progress of a job; says whether all of it is kept. No items
     /// mean that the job is over.
-    pub fn take(&self, news: JobCheckpoint) -> bool {
-        if news.items.is_empty() {
-            self.forget(&news.job);
+    pub fn take(&self, update: JobCheckpoint) -> bool {
+        if update.items.is_empty() {
+            self.forget(&update.job);
             return true;
         }
         let mut kept = self.kept.borrow_mut();
-        let job = kept.entry(news.job).or_insert_with(|| KeptJob {
+        let job = kept.entry(update.job).or_insert_with(|| KeptJob {
             items: collections::HashMap::new(),
             heard: clock::BootInstant::now(),
         });
         job.heard = clock::BootInstant::now();
         let mut all_kept = true;
-        for item in news.items {
+        for item in update.items {
             all_kept &= job.take(item);
         }
         all_kept
@@ -334,13 +335,13 @@
 ) -> bool {
     use progress_transfer::PartOutcome as O;
 
-    let news = match context.checkpoints.inbox.borrow_mut().take(part) {
+    let update = match context.checkpoints.inbox.borrow_mut().take(part) {
         O::Partial => return true,
         O::Unfit => return false,
-        O::Whole(news) => news,
+        O::Whole(update) => update,
     };
-    let id = news.job.clone();
-    let is_kept = context.checkpoints.take(news);
+    let id = update.job.clone();
+    let is_kept = context.checkpoints.take(update);
     if let Some(job) = context.jobs.get(&id) {
         use_progress(context, &job);
     }
--- a/src/serving/job_runner.rs
+++ b/src/serving/job_runner.rs
@@ -85,7 +85,7 @@
 /// Ends a job: its streams stop, and nothing of it starts any more.
 pub fn end_job(context: &rc::Rc<context::ProcessContext>, id: &ids::JobId) {
     // Another owner may hand the job over later.
-    context.jobs.note_end(id);
+    context.jobs.record_end(id);
     let Some(job) = context.jobs.get(id) else {
         return;
     };
@@ -122,7 +122,7 @@
         start_item(context, &item, &mut full);
     }
     for (service, waiting) in full {
-        lent_slots::borrow_places(context, service, waiting);
+        lent_slots::borrow_slots(context, service, waiting);
     }
 }
 
@@ -147,25 +147,25 @@
         return;
     }
     let now = context.clock.now();
-    let place = {
+    let slot = {
         let mut permits = context.permits.borrow_mut();
         let shunned = permits.shunned(&context.loads.borrow(), now);
         permits.begin_batch(&target.service, &shunned, now)
     };
-    let Some((endpoint, number)) = place else {
+    let Some((endpoint, number)) = slot else {
         full.insert(target.service.clone(), 1);
         return;
     };
-    let place = StreamPlace {
+    let slot = StreamSlot {
         endpoint,
         number,
         lender: None,
     };
-    begin_run(context, item, place);
+    begin_run(context, item, slot);
 }
 
 /// A place for a batch stream.
-pub(super) struct StreamPlace {
+pub(super) struct StreamSlot {
     pub(super) endpoint: rc::Rc<directory::EndpointEntry>,
     pub(super) number: admission::StreamNumber,
     /// The owner that lent it, if it is another process.
@@ -176,7 +176,7 @@
 pub(super) fn begin_run(
     context: &rc::Rc<context::ProcessContext>,
     item: &ready_items::ReadyItem,
-    place: StreamPlace,
+    slot: StreamSlot,
 ) {
     let mut job = item.job.borrow_mut();
     let progress = &mut job.items[item.index];
@@ -187,9 +187,9 @@
         context: context.clone(),
         job: item.job.clone(),
         index: item.index,
-        endpoint: place.endpoint,
-        number: place.number,
-        lender: place.lender,
+        endpoint: slot.endpoint,
+        number: slot.number,
+        lender: slot.lender,
         max_attempts: item.route.max_attempts,
         chain,
         has_head: std::cell::Cell::new(false),
--- a/src/serving/job_upkeep.rs
+++ b/src/serving/job_upkeep.rs
@@ -118,7 +118,7 @@
                 since = store::ObjectRevision(answer.revision);
                 let ended = answer.changes.iter();
                 let ended: Vec<_> = ended.filter_map(|c| ended_job(&prefix, c)).collect();
-                context.jobs.note_ended(ended.iter().cloned());
+                context.jobs.record_ended(ended.iter().cloned());
                 for id in &ended {
                     job_runner::end_job(&context, id);
                 }
--- a/src/serving/lent_slots.rs
+++ b/src/serving/lent_slots.rs
@@ -23,7 +23,7 @@
 const MAX_LENT: usize = 16;
 
 /// Asks the other owners for places for items that wait here.
-pub(super) fn borrow_places(
+pub(super) fn borrow_slots(
     context: &rc::Rc<context::ProcessContext>,
     service: ids::ServiceName,
     waiting: usize,
@@ -35,7 +35,7 @@
     actix_rt::spawn(async move {
         let mut waiting = waiting;
         let mut owners = (*context.owners()).clone();
-        owners.retain(|o| o.id != *context.id() && context.hears(&o.id));
+        owners.retain(|o| o.id != *context.id() && context.receives_from(&o.id));
         for i in (1..owners.len()).rev() {
             owners.swap(i, rand::random_range(0..=i));
         }
@@ -45,13 +45,13 @@
             }
             let address = context.members.borrow().address_of(&owner.id);
             let Some(address) = address else { continue };
-            let ask = peers::SlotAsk {
+            let ask = peers::BatchSlotRequest {
                 number: rand::random(),
                 holder: context.run.clone(),
                 service: service.clone(),
                 count: waiting.min(MAX_LENT),
             };
-            if let Some(slots) = ask_for_places(&context, &owner.id, address, ask).await {
+            if let Some(slots) = request_slots(&context, &owner.id, address, ask).await {
                 waiting = waiting.saturating_sub(slots.len());
                 use_slots(&context, address, slots);
             }
@@ -62,12 +62,12 @@
 }
 
 /// Asks one owner for places; what it lends too late is given back.
-async fn ask_for_places(
+async fn request_slots(
     context: &rc::Rc<context::ProcessContext>,
     owner: &ids::InstanceId,
     address: net::SocketAddr,
-    ask: peers::SlotAsk,
-) -> Option<Vec<peers::LentSlot>> {
+    ask: peers::BatchSlotRequest,
+) -> Option<Vec<peers::BorrowedSlot>> {
     let lending = lend(context.clone(), owner.clone(), address, ask);
     let mut lending = Box::pin(lending);
     if let Ok(slots) = tokio::time::timeout(LEND_TIMEOUT, &mut lending).await {
@@ -87,8 +87,8 @@
     context: rc::Rc<context::ProcessContext>,
     owner: ids::InstanceId,
     address: net::SocketAddr,
-    ask: peers::SlotAsk,
-) -> Option<Vec<peers::LentSlot>> {
+    ask: peers::BatchSlotRequest,
+) -> Option<Vec<peers::BorrowedSlot>> {
     let number = ask.number;
     let answer = context.links.lend(address, ask, LATE_LEND_TIMEOUT).await;
     answer
@@ -105,7 +105,7 @@
 fn use_slots(
     context: &rc::Rc<context::ProcessContext>,
     lender: net::SocketAddr,
-    slots: Vec<peers::LentSlot>,
+    slots: Vec<peers::BorrowedSlot>,
 ) {
     let mut ready = ready_items::ready_items(context);
     for slot in slots {
@@ -123,12 +123,12 @@
             context.links.give_back(lender, slot);
             continue;
         };
-        let place = job_runner::StreamPlace {
+        let slot = job_runner::StreamSlot {
             endpoint,
             number: slot.number,
             lender: Some(lender),
         };
-        job_runner::begin_run(context, &ready.remove(position), place);
+        job_runner::begin_run(context, &ready.remove(position), slot);
     }
 }
 
--- a/src/serving/limit_links.rs
+++ b/src/serving/limit_links.rs
@@ -40,7 +40,7 @@
 
 impl LinkedSource<'_> {
     fn is_heard(&self, quota_server: &ids::InstanceId) -> bool {
-        quota_server == self.context.id() || self.context.hears(quota_server)
+        quota_server == self.context.id() || self.context.receives_from(quota_server)
     }
 
     /// Where a keeper is reached: directly, or through a gateway that hears it.
@@ -256,7 +256,7 @@
 }
 
 /// Reads the stamp of a peer that may keep pools.
-pub(super) fn note_stamp(context: &context::ProcessContext, hello: &peers::PeerHello) {
+pub(super) fn record_stamp(context: &context::ProcessContext, hello: &peers::PeerHello) {
     let mut stamps = context.stamps.borrow_mut();
     stamps.insert(hello.id.clone(), (hello.run, hello.stamp));
 }
--- a/src/serving/members.rs
+++ b/src/serving/members.rs
@@ -59,7 +59,7 @@
     /// Whether it is leaving.
     pub leaving: bool,
     /// Marks of the dispatchers that it hears itself.
-    pub hears: Vec<MemberMark>,
+    pub receives_from: Vec<MemberMark>,
     /// Whether it follows the store itself, and the store answers.
     pub follows_store: bool,
     /// Version of its desired state.
@@ -163,7 +163,7 @@
     }
 
     /// Notes a heartbeat, and what the process says of itself.
-    pub fn note_heard(
+    pub fn record_heard(
         &mut self,
         id: &ids::InstanceId,
         heartbeat: PeerHeartbeat,
@@ -219,7 +219,7 @@
     }
 
     /// Whether a process answers this process itself.
-    pub fn hears(&self, id: &ids::InstanceId, now: clock::MonotonicTime) -> bool {
+    pub fn receives_from(&self, id: &ids::InstanceId, now: clock::MonotonicTime) -> bool {
         let peer = self.peers.get(id);
         peer.is_some_and(|peer| self.is_live(peer, now))
     }
@@ -230,7 +230,7 @@
         let live = self
             .live(now)
             .filter_map(|record| self.peers.get(&record.id));
-        let named = live.flat_map(|peer| peer.heartbeat.hears.iter());
+        let named = live.flat_map(|peer| peer.heartbeat.receives_from.iter());
         let named: collections::HashSet<_> = named.collect();
         let cut = self.peers.values().filter(|peer| {
             let heard = self.is_heard(peer, now);
@@ -251,7 +251,7 @@
         let live = self.live(now);
         let relays = live.filter(|r| {
             let peer = self.peers.get(&r.id);
-            peer.is_some_and(|p| !p.heartbeat.hears.is_empty())
+            peer.is_some_and(|p| !p.heartbeat.receives_from.is_empty())
         });
         relays.cloned().collect()
     }
--- a/src/serving/metrics_page.rs
+++ b/src/serving/metrics_page.rs
@@ -28,7 +28,7 @@
                 .set(version.try_into().unwrap_or(i64::MAX));
             let (online, batch) = context.permits.borrow().totals();
             for (class, held) in [("online", online), ("batch", batch)] {
-                let gauge = metrics.held_places.with_label_values(&[class]);
+                let gauge = metrics.held_slots.with_label_values(&[class]);
                 gauge.set(held.into());
             }
             let unreadable = context.fleet.unreadable();
--- a/src/serving/open_job.rs
+++ b/src/serving/open_job.rs
@@ -90,12 +90,15 @@
 
     /// The progress beyond what its reader has, if there is any.
     fn checkpoint(&self, index: usize, known: usize) -> Option<job_checkpoints::ItemCheckpoint> {
-        let news = self.events.get(known..).filter(|news| !news.is_empty())?;
+        let update = self
+            .events
+            .get(known..)
+            .filter(|update| !update.is_empty())?;
         Some(job_checkpoints::ItemCheckpoint {
             index,
             chain: self.chain,
             skipped: known,
-            events: news.to_vec(),
+            events: update.to_vec(),
             state: None,
             last_event: self.last_event,
             failures: self.failures,
@@ -252,13 +255,13 @@
         known: impl Fn(&ItemProgress) -> usize,
     ) -> job_checkpoints::JobCheckpoint {
         let items = self.items.iter().enumerate();
-        let news = items.filter_map(|(index, item)| match item.phase {
+        let update = items.filter_map(|(index, item)| match item.phase {
             ItemPhase::Done => self.result_checkpoint(index, known(item)),
             _ => item.checkpoint(index, known(item)),
         });
         job_checkpoints::JobCheckpoint {
             job: self.record.id.clone(),
-            items: news.collect(),
+            items: update.collect(),
         }
     }
 
@@ -309,7 +312,7 @@
 
     /// Notes what came of a checkpoint that a peer was told. One that the peer did not
     /// answer is told again from where it was; what does not fit is told whole.
-    pub(super) fn note_backed_up(
+    pub(super) fn record_backed_up(
         &mut self,
         peer: &ids::InstanceId,
         told: &[job_checkpoints::ToldItem],
--- a/src/serving/owners.rs
+++ b/src/serving/owners.rs
@@ -148,7 +148,7 @@
         log::info!("event=owners now=\"{}\"", names.join(","));
         for lost in context.owners().iter().filter(|o| !owners.contains(o)) {
             context
-                .rooms
+                .free_slots
                 .borrow_mut()
                 .retain(|(id, _), _| *id != lost.id);
         }
--- a/src/serving/peer_calls.rs
+++ b/src/serving/peer_calls.rs
@@ -6,7 +6,7 @@
 
 use super::{
     context, crash_guard, job_calls, job_checkpoints, job_records, job_runner, job_sponsor,
-    limit_links, peers, places, views,
+    limit_links, peers, slots, views,
 };
 use crate::{decisions::admission, ids, store};
 
@@ -42,15 +42,15 @@
             }
             let context = context.clone();
             actix_rt::spawn(async move {
-                if let Some(answer) = places::ask_for_peer(&context, ask).await {
+                if let Some(answer) = slots::ask_for_peer(&context, ask).await {
                     reply(sender, answer);
                 }
             });
         }
         C::Release(ended) => release(context, ended),
         C::Report(report) => take_report(context, &report),
-        C::CrashNews(news) => {
-            crash_guard::take(context, news);
+        C::CrashUpdate(update) => {
+            crash_guard::take(context, update);
         }
         C::Crashes(sender) => reply(sender, context.crashes.copy(context.clock.now())),
         C::StatePart(ask, sender) => {
@@ -148,7 +148,10 @@
 }
 
 /// Lends places of batch streams at owned endpoints.
-fn lend(context: &context::ProcessContext, ask: &peers::SlotAsk) -> Vec<peers::LentSlot> {
+fn lend(
+    context: &context::ProcessContext,
+    ask: &peers::BatchSlotRequest,
+) -> Vec<peers::BorrowedSlot> {
     if context.is_leaving() {
         return Vec::new();
     }
@@ -157,22 +160,22 @@
     let shunned = permits.shunned(&context.loads.borrow(), now);
     let lent = permits.lend_batch(ask, &shunned, now);
     let lent = lent.into_iter();
-    let slots = lent.map(|(endpoint, number)| peers::LentSlot { endpoint, number });
+    let slots = lent.map(|(endpoint, number)| peers::BorrowedSlot { endpoint, number });
     slots.collect()
 }
 
 /// Gives a place at an owned endpoint, and takes batch streams back for it.
 pub fn grant(
     context: &rc::Rc<context::ProcessContext>,
-    ask: &peers::PlaceAsk,
-) -> peers::PlaceAnswer {
+    ask: &peers::OnlineSlotRequest,
+) -> peers::OnlineSlotResponse {
     let now = context.clock.now();
     let mut permits = context.permits.borrow_mut();
     let shunned = permits.shunned(&context.loads.borrow(), now);
     let granted = permits.acquire(ask, &shunned, now);
     let owns = permits.owns(&ask.service);
-    let room = permits.online_room(&ask.service);
-    let queue_room = permits.queue_room(&ask.service, ask.wait);
+    let free_slots = permits.free_online_slots(&ask.service);
+    let free_queue_slots = permits.free_queue_slots(&ask.service, ask.wait);
     let denial = granted.is_none().then(|| permits.denial(ask, now));
     drop(permits);
     if let Some(denial) = denial {
@@ -183,17 +186,17 @@
             ask.may_queue,
         );
     }
-    let endpoint = granted.map(|place| {
-        for stream in &place.preempted {
-            preempt(context, &place.endpoint, *stream);
+    let endpoint = granted.map(|slot| {
+        for stream in &slot.preempted {
+            preempt(context, &slot.endpoint, *stream);
         }
-        place.endpoint
+        slot.endpoint
     });
-    peers::PlaceAnswer {
+    peers::OnlineSlotResponse {
         endpoint,
         owns,
-        room,
-        queue_room,
+        free_slots,
+        free_queue_slots,
     }
 }
 
@@ -212,13 +215,13 @@
     let address = context.members.borrow().address_of(&borrower);
     if let Some(address) = address {
         let endpoint = endpoint.clone();
-        let slot = peers::LentSlot { endpoint, number };
+        let slot = peers::BorrowedSlot { endpoint, number };
         context.links.preempt(address, slot);
     }
 }
 
 /// Takes a place back; batch work may use it.
-pub fn release(context: &context::ProcessContext, ended: peers::PlaceRelease) {
+pub fn release(context: &context::ProcessContext, ended: peers::SlotRelease) {
     let mut permits = context.permits.borrow_mut();
     let released = match ended.is_served {
         true => permits.release_served(ended.number, context.clock.now()),
@@ -227,8 +230,8 @@
     drop(permits);
     if let Some(endpoint) = released {
         if ended.is_served {
-            context.loads.borrow_mut().note_served(&endpoint);
-            context.fleet.note_named(&endpoint);
+            context.loads.borrow_mut().record_served(&endpoint);
+            context.fleet.record_named(&endpoint);
         }
         context.jobs.work.notify_one();
         return;
@@ -244,20 +247,20 @@
     let peers::EndpointReport {
         endpoint,
         started,
-        news,
+        observation,
     } = report;
     let directory = context.fleet.directory.borrow();
     let is_outdated = directory.has_other_start(endpoint, *started);
     drop(directory);
     if is_outdated {
-        log::info!("event=report_outdated endpoint={endpoint} news=\"{news:?}\"");
+        log::info!("event=report_outdated endpoint={endpoint} news=\"{observation:?}\"");
         return;
     }
     let now = context.clock.now();
-    match news {
-        peers::EndpointNews::Failed(failure) => {
+    match observation {
+        peers::EndpointObservation::Failed(failure) => {
             let mut loads = context.loads.borrow_mut();
-            if loads.note_peer_failure(endpoint, failure, now) {
+            if loads.record_peer_failure(endpoint, failure, now) {
                 log::info!(
                     "event=endpoint_shunned endpoint={endpoint} last_reporter={} silent={}",
                     failure.reporter,
@@ -265,7 +268,9 @@
                 );
             }
         }
-        peers::EndpointNews::Full => context.permits.borrow_mut().note_refused(endpoint, now),
-        peers::EndpointNews::Misnamed => context.fleet.note_misnamed(endpoint, *started),
+        peers::EndpointObservation::Full => {
+            context.permits.borrow_mut().record_refused(endpoint, now)
+        }
+        peers::EndpointObservation::Misnamed => context.fleet.record_misnamed(endpoint, *started),
     }
 }
--- a/src/serving/peer_links.rs
+++ b/src/serving/peer_links.rs
@@ -8,8 +8,8 @@
 use super::{
     directory, job_records, members,
     peers::{
-        EndpointReport, LentSlot, PeerHello, PeerServiceClient, PlaceAnswer, PlaceAsk,
-        PlaceRelease, ResultAsk, SlotAsk, WriteOutcome,
+        BatchSlotRequest, BorrowedSlot, EndpointReport, OnlineSlotRequest, OnlineSlotResponse,
+        PeerHello, PeerServiceClient, ResultAsk, SlotRelease, WriteOutcome,
     },
     permits, progress_transfer, state_copy, wire,
     workspaces::limit_messages,
@@ -205,15 +205,15 @@
     pub async fn acquire(
         &self,
         peer: net::SocketAddr,
-        ask: PlaceAsk,
+        ask: OnlineSlotRequest,
         timeout: time::Duration,
-    ) -> Result<PlaceAnswer, PeerError> {
+    ) -> Result<OnlineSlotResponse, PeerError> {
         call_peer!(self, peer, timeout, acquire(ask))
     }
 
     /// Gives a place back, also where its owner is out of reach for a while: the place is
     /// held until it hears of it, or until the permit expires.
-    pub fn release(&self, peer: net::SocketAddr, release: PlaceRelease) {
+    pub fn release(&self, peer: net::SocketAddr, release: SlotRelease) {
         tell_until_heard!(self, peer, release(release));
     }
 
@@ -223,8 +223,8 @@
     }
 
     /// Tells an owner of a request under which an endpoint ended, or that was served since.
-    pub fn crash_news(&self, peer: net::SocketAddr, news: crash_ledger::CrashNews) {
-        tell_peer!(self, peer, crash_news(news));
+    pub fn crash_news(&self, peer: net::SocketAddr, update: crash_ledger::CrashUpdate) {
+        tell_peer!(self, peer, crash_news(update));
     }
 
     /// Asks for all that a peer knows of such requests: up to 200 KB, which is waited for
@@ -236,7 +236,7 @@
         &self,
         peer: net::SocketAddr,
         silence: time::Duration,
-    ) -> Result<Vec<crash_ledger::CrashNews>, PeerError> {
+    ) -> Result<Vec<crash_ledger::CrashUpdate>, PeerError> {
         let asking = async { call_peer!(self, peer, LIST_TIMEOUT, crashes()) };
         tokio::select! {
             answer = asking => answer,
@@ -351,14 +351,14 @@
     pub async fn lend(
         &self,
         peer: net::SocketAddr,
-        ask: SlotAsk,
+        ask: BatchSlotRequest,
         timeout: time::Duration,
-    ) -> Result<Vec<LentSlot>, PeerError> {
+    ) -> Result<Vec<BorrowedSlot>, PeerError> {
         call_peer!(self, peer, timeout, lend(ask))
     }
 
     /// Gives a place of a batch stream back, also where its owner is out of reach for a while.
-    pub fn give_back(&self, peer: net::SocketAddr, slot: LentSlot) {
+    pub fn give_back(&self, peer: net::SocketAddr, slot: BorrowedSlot) {
         tell_until_heard!(self, peer, give_back(slot));
     }
 
@@ -368,7 +368,7 @@
     }
 
     /// Takes a place of a batch stream back.
-    pub fn preempt(&self, peer: net::SocketAddr, slot: LentSlot) {
+    pub fn preempt(&self, peer: net::SocketAddr, slot: BorrowedSlot) {
         tell_peer!(self, peer, preempt(slot));
     }
 
@@ -466,7 +466,7 @@
     }
 
     /// Notes what became of a link, unless another has taken its place.
-    fn note(&self, peer: net::SocketAddr, generation: LinkGeneration, state: LinkState) {
+    fn record(&self, peer: net::SocketAddr, generation: LinkGeneration, state: LinkState) {
         let mut table = self.table.borrow_mut();
         let known = table.get(&peer).and_then(LinkState::generation);
         if known != Some(generation) {
@@ -515,7 +515,7 @@
         Ok(socket) => socket,
         Err(e) => {
             log::debug!("event=peer_unreached peer={peer} why=\"{e}\"");
-            return links.note(peer, generation, LinkState::failed());
+            return links.record(peer, generation, LinkState::failed());
         }
     };
     let heard_at = rc::Rc::new(cell::Cell::new(clock::BootInstant::now()));
@@ -531,11 +531,11 @@
         heard_at,
         _closing: closing,
     };
-    links.note(peer, generation, LinkState::Connected(link));
+    links.record(peer, generation, LinkState::Connected(link));
     tokio::select! {
         ended = new.dispatch => {
             log::info!("event=peer_link_lost peer={peer} why=\"{ended:?}\"");
-            links.note(peer, generation, LinkState::failed());
+            links.record(peer, generation, LinkState::failed());
         }
         // Given up; dropping the dispatch closes the socket.
         _ = closed => {}
--- a/src/serving/peer_server.rs
+++ b/src/serving/peer_server.rs
@@ -10,8 +10,8 @@
     directory, job_records, members,
     peer_links::{frames, RECONNECT_PAUSE},
     peers::{
-        EndpointReport, LentSlot, PeerCall, PeerHello, PeerService, PlaceAnswer, PlaceAsk,
-        PlaceRelease, ResultAsk, SlotAsk, WriteOutcome,
+        BatchSlotRequest, BorrowedSlot, EndpointReport, OnlineSlotRequest, OnlineSlotResponse,
+        PeerCall, PeerHello, PeerService, ResultAsk, SlotRelease, WriteOutcome,
     },
     progress_transfer, state_copy, wire,
     workspaces::limit_messages,
@@ -48,11 +48,15 @@
         self.ask(|reply| PeerCall::Probe(hello, reply)).await
     }
 
-    async fn acquire(self, _: tarpc::context::Context, ask: PlaceAsk) -> Option<PlaceAnswer> {
+    async fn acquire(
+        self,
+        _: tarpc::context::Context,
+        ask: OnlineSlotRequest,
+    ) -> Option<OnlineSlotResponse> {
         self.ask(|reply| PeerCall::Acquire(ask, reply)).await
     }
 
-    async fn release(self, _: tarpc::context::Context, release: PlaceRelease) {
+    async fn release(self, _: tarpc::context::Context, release: SlotRelease) {
         self.tell(PeerCall::Release(release)).await;
     }
 
@@ -68,11 +72,11 @@
         self.ask(|reply| PeerCall::StatePart(ask, reply)).await
     }
 
-    async fn crash_news(self, _: tarpc::context::Context, news: crash_ledger::CrashNews) {
-        self.tell(PeerCall::CrashNews(news)).await;
+    async fn crash_news(self, _: tarpc::context::Context, update: crash_ledger::CrashUpdate) {
+        self.tell(PeerCall::CrashUpdate(update)).await;
     }
 
-    async fn crashes(self, _: tarpc::context::Context) -> Option<Vec<crash_ledger::CrashNews>> {
+    async fn crashes(self, _: tarpc::context::Context) -> Option<Vec<crash_ledger::CrashUpdate>> {
         self.ask(PeerCall::Crashes).await
     }
 
@@ -116,11 +120,15 @@
         self.tell(PeerCall::EndJob(job)).await;
     }
 
-    async fn lend(self, _: tarpc::context::Context, ask: SlotAsk) -> Option<Vec<LentSlot>> {
+    async fn lend(
+        self,
+        _: tarpc::context::Context,
+        ask: BatchSlotRequest,
+    ) -> Option<Vec<BorrowedSlot>> {
         self.ask(|reply| PeerCall::Lend(ask, reply)).await
     }
 
-    async fn give_back(self, _: tarpc::context::Context, slot: LentSlot) {
+    async fn give_back(self, _: tarpc::context::Context, slot: BorrowedSlot) {
         self.tell(PeerCall::GiveBack(slot)).await;
     }
 
@@ -128,7 +136,7 @@
         self.tell(PeerCall::CancelLent(number)).await;
     }
 
-    async fn preempt(self, _: tarpc::context::Context, slot: LentSlot) {
+    async fn preempt(self, _: tarpc::context::Context, slot: BorrowedSlot) {
         self.tell(PeerCall::Preempt(slot)).await;
     }
 
--- a/src/serving/peers.rs
+++ b/src/serving/peers.rs
@@ -33,7 +33,8 @@
     /// Digest of its list of endpoints.
     pub digest: u64,
     /// Dispatchers that it hears itself.
-    pub hears: Vec<members::MemberMark>,
+    #[serde(rename = "hears")]
+    pub receives_from: Vec<members::MemberMark>,
     /// Whether it follows the store itself, and the store answers.
     pub follows_store: bool,
     /// Digest of the processes that it knows.
@@ -41,7 +42,8 @@
     /// Number of what it knows of requests that crash endpoints.
     pub crashes: u64,
     /// Places for online requests at the endpoints that it owns, by service.
-    pub rooms: Vec<(ids::ServiceName, u32)>,
+    #[serde(rename = "rooms")]
+    pub free_slots: Vec<(ids::ServiceName, u32)>,
     /// When it was made, by the clock of the process.
     pub stamp: limit_messages::ClockStamp,
     /// For the pools of the process that it is said to.
@@ -50,7 +52,7 @@
 
 /// A request for a place for an online request.
 #[derive(Debug, Clone, serde::Serialize, serde::Deserialize)]
-pub struct PlaceAsk {
+pub struct OnlineSlotRequest {
     /// Number of the permit, made by the asker at random.
     pub number: admission::PermitNumber,
     /// The asker.
@@ -69,21 +71,23 @@
 
 /// The owner's word on a place.
 #[derive(Debug, Clone, serde::Serialize, serde::Deserialize)]
-pub struct PlaceAnswer {
+pub struct OnlineSlotResponse {
     /// The endpoint, or nothing if all are full.
     pub endpoint: Option<ids::EndpointId>,
     /// Whether who answers owns endpoints of the service: views of that differ for a
     /// moment when processes come and go.
     pub owns: bool,
     /// Places that the owner could still give.
-    pub room: u32,
+    #[serde(rename = "room")]
+    pub free_slots: u32,
     /// Places in the queues of its endpoints that it could still give.
-    pub queue_room: u32,
+    #[serde(rename = "queue_room")]
+    pub free_queue_slots: u32,
 }
 
 /// The end of a permit.
 #[derive(Debug, Clone, Copy, serde::Serialize, serde::Deserialize)]
-pub struct PlaceRelease {
+pub struct SlotRelease {
     /// Its number.
     pub number: admission::PermitNumber,
     /// Whether the endpoint served the request.
@@ -92,7 +96,7 @@
 
 /// What one who had a place at an endpoint saw there.
 #[derive(Debug, Clone, serde::Serialize, serde::Deserialize)]
-pub enum EndpointNews {
+pub enum EndpointObservation {
     /// It failed, or did not answer at all.
     Failed(health::FailureReport),
     /// It refused, as it has no room.
@@ -109,12 +113,13 @@
     /// Its start: what was seen of another says nothing of the present one.
     pub started: Option<ids::StartTime>,
     /// What was seen there.
-    pub news: EndpointNews,
+    #[serde(rename = "news")]
+    pub observation: EndpointObservation,
 }
 
 /// A request for places for batch streams.
 #[derive(Debug, Clone, serde::Serialize, serde::Deserialize)]
-pub struct SlotAsk {
+pub struct BatchSlotRequest {
     /// Number of this question, made by the asker at random.
     pub number: u64,
     /// The asker.
@@ -127,7 +132,7 @@
 
 /// A batch stream at an endpoint of another owner.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct LentSlot {
+pub struct BorrowedSlot {
     /// The endpoint.
     pub endpoint: ids::EndpointId,
     /// Number of the stream in the owner's ledger.
@@ -162,15 +167,15 @@
     /// Exchanges heartbeats.
     async fn probe(hello: PeerHello) -> Option<PeerHello>;
     /// Asks for a place for an online request.
-    async fn acquire(ask: PlaceAsk) -> Option<PlaceAnswer>;
+    async fn acquire(ask: OnlineSlotRequest) -> Option<OnlineSlotResponse>;
     /// Gives a place back.
-    async fn release(release: PlaceRelease);
+    async fn release(release: SlotRelease);
     /// Tells of a failure at an endpoint.
     async fn report(report: EndpointReport);
     /// Tells of a request under which an endpoint ended, or that was served since.
-    async fn crash_news(news: crash_ledger::CrashNews);
+    async fn crash_news(update: crash_ledger::CrashUpdate);
     /// Asks for all that the peer knows of such requests.
-    async fn crashes() -> Option<Vec<crash_ledger::CrashNews>>;
+    async fn crashes() -> Option<Vec<crash_ledger::CrashUpdate>>;
     /// Asks for a part of the desired state.
     async fn state_part(ask: state_copy::StatePartRequest) -> Option<state_copy::StatePart>;
     /// Asks for the list of endpoints.
@@ -190,13 +195,13 @@
     /// Tells that a job was ended.
     async fn end_job(job: ids::JobId);
     /// Asks for places for batch streams.
-    async fn lend(ask: SlotAsk) -> Option<Vec<LentSlot>>;
+    async fn lend(ask: BatchSlotRequest) -> Option<Vec<BorrowedSlot>>;
     /// Gives a place of a batch stream back.
-    async fn give_back(slot: LentSlot);
+    async fn give_back(slot: BorrowedSlot);
     /// Gives all places back that were lent to a question whose answer did not come.
     async fn cancel_lent(number: u64);
     /// Takes a place of a batch stream back for an online request.
-    async fn preempt(slot: LentSlot);
+    async fn preempt(slot: BorrowedSlot);
     /// Asks a peer to write an accepted job to the store.
     async fn write_job(record: job_records::JobRecord) -> Option<WriteOutcome>;
     /// Asks a peer to write the end of a job to the store.
@@ -210,15 +215,15 @@
     /// See [`PeerService::probe`].
     Probe(PeerHello, oneshot::Sender<PeerHello>),
     /// See [`PeerService::acquire`].
-    Acquire(PlaceAsk, oneshot::Sender<PlaceAnswer>),
+    Acquire(OnlineSlotRequest, oneshot::Sender<OnlineSlotResponse>),
     /// See [`PeerService::release`].
-    Release(PlaceRelease),
+    Release(SlotRelease),
     /// See [`PeerService::report`].
     Report(EndpointReport),
     /// See [`PeerService::crash_news`].
-    CrashNews(crash_ledger::CrashNews),
+    CrashUpdate(crash_ledger::CrashUpdate),
     /// See [`PeerService::crashes`].
-    Crashes(oneshot::Sender<Vec<crash_ledger::CrashNews>>),
+    Crashes(oneshot::Sender<Vec<crash_ledger::CrashUpdate>>),
     /// See [`PeerService::state_part`].
     StatePart(
         state_copy::StatePartRequest,
@@ -239,13 +244,13 @@
     /// See [`PeerService::end_job`].
     EndJob(ids::JobId),
     /// See [`PeerService::lend`].
-    Lend(SlotAsk, oneshot::Sender<Vec<LentSlot>>),
+    Lend(BatchSlotRequest, oneshot::Sender<Vec<BorrowedSlot>>),
     /// See [`PeerService::give_back`].
-    GiveBack(LentSlot),
+    GiveBack(BorrowedSlot),
     /// See [`PeerService::cancel_lent`].
     CancelLent(u64),
     /// See [`PeerService::preempt`].
-    Preempt(LentSlot),
+    Preempt(BorrowedSlot),
     /// See [`PeerService::write_job`].
     WriteJob(job_records::JobRecord, oneshot::Sender<WriteOutcome>),
     /// See [`PeerService::write_end`].
--- a/src/serving/permits.rs
+++ b/src/serving/permits.rs
@@ -37,7 +37,7 @@
 
 /// A place for an online request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct GrantedPlace {
+pub struct GrantedSlot {
     /// The endpoint.
     pub endpoint: ids::EndpointId,
     /// Batch streams there that have to go for it.
@@ -46,7 +46,7 @@
 
 /// Why a service has no place for a request: what stands in the way at its endpoints.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct PlaceDenial {
+pub struct SlotDenial {
     /// Owned endpoints of the service.
     pub endpoints: usize,
     /// Those that the asker does not want.
@@ -61,7 +61,7 @@
     pub oldest: time::Duration,
 }
 
-impl fmt::Display for PlaceDenial {
+impl fmt::Display for SlotDenial {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
@@ -133,13 +133,13 @@
     }
 
     /// Places that an online request could have now, those of batch streams included.
-    fn online_room(&self) -> u32 {
+    fn free_online_slots(&self) -> u32 {
         self.entry.slots.saturating_sub(self.ledger.online())
     }
 
     /// Places in the endpoint's queue that an online request could have now,
     /// if so many may wait.
-    fn queue_room(&self, queue: u32) -> u32 {
+    fn free_queue_slots(&self, queue: u32) -> u32 {
         let most = self.entry.slots + queue;
         most.saturating_sub(self.ledger.online().max(self.entry.slots))
     }
@@ -223,10 +223,10 @@
     /// with the fewest online requests gives one up.
     pub fn acquire(
         &mut self,
-        ask: &peers::PlaceAsk,
+        ask: &peers::OnlineSlotRequest,
         shunned: &collections::HashSet<ids::EndpointId>,
         now: clock::MonotonicTime,
-    ) -> Option<GrantedPlace> {
+    ) -> Option<GrantedSlot> {
         if self.take_returned(ask.number) {
             return None;
         }
@@ -247,8 +247,8 @@
                 owned.entry.id.clone(),
             )
         })?;
-        let is_free = best.online_room() > 0;
-        let may_wait = ask.may_queue && best.queue_room(self.queue_of(best, ask.wait)) > 0;
+        let is_free = best.free_online_slots() > 0;
+        let may_wait = ask.may_queue && best.free_queue_slots(self.queue_of(best, ask.wait)) > 0;
         if !is_free && !may_wait {
             return None;
         }
@@ -262,14 +262,14 @@
             begun: is_free.then_some(now),
         };
         self.holders.insert(ask.number, holder);
-        Some(GrantedPlace {
+        Some(GrantedSlot {
             endpoint,
             preempted: grant.preempt,
         })
     }
 
     /// What stands in the way of a request that got no place.
-    pub fn denial(&self, ask: &peers::PlaceAsk, now: clock::MonotonicTime) -> PlaceDenial {
+    pub fn denial(&self, ask: &peers::OnlineSlotRequest, now: clock::MonotonicTime) -> SlotDenial {
         let ledgers = self.ledgers.values();
         let owned: Vec<_> = ledgers.filter(|o| o.entry.service == ask.service).collect();
         let is_unwanted = |owned: &&&OwnedLedger| ask.tried.contains(&owned.entry.id);
@@ -282,7 +282,7 @@
         let ages = held
             .iter()
             .map(|h| PERMIT_TTL.saturating_sub(h.expiry.since(now)));
-        PlaceDenial {
+        SlotDenial {
             endpoints: owned.len(),
             unwanted: owned.iter().filter(is_unwanted).count(),
             closed: owned.len() - self.of_service(&ask.service).count(),
@@ -309,7 +309,7 @@
         let endpoint = self.release(number)?;
         if let (Some(begun), Some(owned)) = (begun, self.ledgers.get(&endpoint)) {
             let hold = self.holds.entry(owned.entry.service.clone()).or_default();
-            hold.note(now.since(begun));
+            hold.record(now.since(begun));
         }
         self.refusals.forget(&endpoint);
         Some(endpoint)
@@ -370,7 +370,7 @@
     /// Batch streams that a peer may begin, up to the number that it asks for.
     pub fn lend_batch(
         &mut self,
-        ask: &peers::SlotAsk,
+        ask: &peers::BatchSlotRequest,
         shunned: &collections::HashSet<ids::EndpointId>,
         now: clock::MonotonicTime,
     ) -> Vec<(ids::EndpointId, admission::StreamNumber)> {
@@ -408,14 +408,14 @@
 
     /// Notes that an owned endpoint refused a request that had a place there: it has
     /// less room than its ledger says, and gives no places for a while.
-    pub fn note_refused(&mut self, endpoint: &ids::EndpointId, now: clock::MonotonicTime) {
+    pub fn record_refused(&mut self, endpoint: &ids::EndpointId, now: clock::MonotonicTime) {
         if self.ledgers.contains_key(endpoint) {
-            self.refusals.note(endpoint, now, &mut rand::rng());
+            self.refusals.record(endpoint, now, &mut rand::rng());
         }
     }
 
     /// Notes that an endpoint served one who had a place there.
-    pub fn note_served(&mut self, endpoint: &ids::EndpointId) {
+    pub fn record_served(&mut self, endpoint: &ids::EndpointId) {
         self.refusals.forget(endpoint);
     }
 
@@ -458,16 +458,18 @@
     }
 
     /// Places that online requests of a service could have now.
-    pub fn online_room(&self, service: &ids::ServiceName) -> u32 {
-        self.of_service(service).map(OwnedLedger::online_room).sum()
+    pub fn free_online_slots(&self, service: &ids::ServiceName) -> u32 {
+        self.of_service(service)
+            .map(OwnedLedger::free_online_slots)
+            .sum()
     }
 
     /// Places in queues that online requests of a service could have now, each
     /// of which can wait for so long.
-    pub fn queue_room(&self, service: &ids::ServiceName, wait: time::Duration) -> u32 {
+    pub fn free_queue_slots(&self, service: &ids::ServiceName, wait: time::Duration) -> u32 {
         let owned = self.of_service(service);
-        let rooms = owned.map(|owned| owned.queue_room(self.queue_of(owned, wait)));
-        rooms.sum()
+        let free_slots = owned.map(|owned| owned.free_queue_slots(self.queue_of(owned, wait)));
+        free_slots.sum()
     }
 
     /// The owned endpoints of a service that may give places.
@@ -484,15 +486,15 @@
     }
 
     /// The room of each service with owned endpoints.
-    pub fn rooms(&self) -> Vec<(ids::ServiceName, u32)> {
+    pub fn free_slots(&self) -> Vec<(ids::ServiceName, u32)> {
         let mut services: Vec<_> = self.owned().map(|entry| entry.service.clone()).collect();
         services.sort();
         services.dedup();
-        let rooms = services.into_iter().map(|service| {
-            let room = self.online_room(&service);
-            (service, room)
+        let free_slots = services.into_iter().map(|service| {
+            let free_slots = self.free_online_slots(&service);
+            (service, free_slots)
         });
-        rooms.collect()
+        free_slots.collect()
     }
 
     /// Begins a batch stream at the owned endpoint of `service` with the most free places.
@@ -510,8 +512,8 @@
             owned.entry.service == *service && !shunned.contains(id) && is_open
         });
         let roomy = usable.filter_map(|owned| {
-            let room = owned.ledger.batch_room(now);
-            (room > 0).then_some(owned)
+            let free_slots = owned.ledger.free_batch_slots(now);
+            (free_slots > 0).then_some(owned)
         });
         let best = roomy.max_by_key(|owned| (owned.free(), owned.entry.id.clone()))?;
         let number = best.ledger.begin_stream(now);
--- a/src/serving/progress_transfer.rs
+++ b/src/serving/progress_transfer.rs
@@ -271,15 +271,15 @@
     address: net::SocketAddr,
     job: &open_job::SharedJob,
 ) {
-    let news = job.borrow().unsaved();
-    if news.items.is_empty() {
+    let update = job.borrow().unsaved();
+    if update.items.is_empty() {
         return;
     }
-    let told: Vec<_> = news
+    let told: Vec<_> = update
         .items
         .iter()
         .map(job_checkpoints::ToldItem::of)
         .collect();
-    let outcome = tell(&context.links, address, &news).await;
-    job.borrow_mut().note_backed_up(peer, &told, outcome);
+    let outcome = tell(&context.links, address, &update).await;
+    job.borrow_mut().record_backed_up(peer, &told, outcome);
 }
--- a/src/serving/ready_items.rs
+++ b/src/serving/ready_items.rs
@@ -138,11 +138,11 @@
     let spent = job.items[index].spent;
     let service = route.targets.first().map(|t| &t.service);
     let remaining_ms = service.map_or(0, |s| context.jobs.remaining_ms(s, spent));
-    let outlook = item_order::ItemTiming {
+    let timing = item_order::ItemTiming {
         due_ms: job.due(),
         remaining_ms,
     };
-    ORDER.start_key(&outlook, now_ms)
+    ORDER.start_key(&timing, now_ms)
 }
 
 /// What the desired state says of an item.
--- a/src/serving/relay.rs
+++ b/src/serving/relay.rs
@@ -5,8 +5,8 @@
 use actix_http::{header, StatusCode};
 
 use super::{
-    answer_copy, attempt, attempt_flow, context, crash_guard, event_flow, places,
-    request_admission, route_table, suspension, wire,
+    answer_copy, attempt, attempt_flow, context, crash_guard, event_flow, request_admission,
+    route_table, slots, suspension, wire,
 };
 use crate::{clock, decisions::crash_ledger::CrashVerdict, http_server, ids};
 
@@ -110,7 +110,7 @@
     };
     match outcome {
         Ok(Served::Whole(answer)) => {
-            relay.note_end(ANSWERED, answer.status().as_u16());
+            relay.record_end(ANSWERED, answer.status().as_u16());
             answer
         }
         Ok(Served::Stream(head, stream)) => relay.into_stream(head, stream),
@@ -154,7 +154,7 @@
     /// the endpoint by then.
     pub(super) async fn suspecting<T>(
         &self,
-        place: &places::HeldPlace,
+        slot: &slots::HeldSlot,
         waiting: impl std::future::Future<Output = T>,
     ) -> T {
         tokio::pin!(waiting);
@@ -165,10 +165,10 @@
         log::info!(
             "event=endpoint_suspected request={} endpoint={} silent_ms={}",
             self.request.terms.id.as_deref().unwrap_or("-"),
-            place.endpoint.id,
+            slot.endpoint.id,
             objective.as_millis()
         );
-        place.note_failed(false);
+        slot.record_failed(false);
         waiting.await
     }
 
@@ -189,8 +189,8 @@
                     return Ok(Served::Whole(answer));
                 }
                 Err(e) => {
-                    self.note_broken(&answered.place, "cut", &e.to_string());
-                    answered.place.note_failed(false);
+                    self.record_broken(&answered.slot, "cut", &e.to_string());
+                    answered.slot.record_failed(false);
                     drop(answered);
                     match self.after_unknown(e.to_string()) {
                         attempt_flow::NextStep::GiveUp(e) => return Err(e),
@@ -221,7 +221,7 @@
     /// Keeps the connection of an answer that is complete.
     pub(super) fn give_back(&self, answered: attempt_flow::Answered) {
         if !attempt::is_failure(answered.open.incoming.head.status) {
-            answered.place.note_served();
+            answered.slot.record_served();
         }
         let limit = answered.open.notes.idle_limit;
         if let Some(connection) = answered.open.incoming.into_connection() {
@@ -247,10 +247,10 @@
     }
 
     /// One line and one count for the end of a request.
-    pub(super) fn note_end(&self, outcome: &str, status: u16) {
+    pub(super) fn record_end(&self, outcome: &str, status: u16) {
         let spent = self.request.arrived.elapsed();
         if outcome == ANSWERED {
-            crash_guard::note_served(&self.context, self.request.forwarded.digest);
+            crash_guard::record_served(&self.context, self.request.forwarded.digest);
         }
         let metrics = &self.context.metrics;
         metrics.answers.with_label_values(&[outcome]).inc();
@@ -288,7 +288,7 @@
                 token.give_back();
             }
         }
-        self.note_end(outcome, status.as_u16());
+        self.record_end(outcome, status.as_u16());
         let mut answer = actix_http::Response::build(status);
         self.mark_close(&mut answer);
         if let FinalError::NotRun(pause, _) | FinalError::Held(pause) = error {
--- a/src/serving/request_admission.rs
+++ b/src/serving/request_admission.rs
@@ -58,7 +58,7 @@
         api_key::PresentedKey::Missing | api_key::PresentedKey::Malformed => KeyMatch::NoKey,
     };
     let view = key_view(context, table.version());
-    match authentication::judge(found, is_public, view) {
+    match authentication::authenticate(found, is_public, view) {
         KeyVerdict::Anonymous => Ok(None),
         KeyVerdict::Workspace(spec) => Ok(Some(spec)),
         KeyVerdict::Unauthorized => Err(unauthorized(context, table, terms)),
@@ -74,7 +74,7 @@
     let is_followed = context.fleet.is_following() || members.hears_follower(now);
     match is_followed && !is_newer_known {
         true => KeyFreshness::Current,
-        false => KeyFreshness::Behind,
+        false => KeyFreshness::Stale,
     }
 }
 
@@ -88,7 +88,7 @@
         api_key::PresentedKey::Malformed => ("key_malformed", "the API key is malformed\n"),
         api_key::PresentedKey::Key(_) => ("key_unknown", "unknown API key\n"),
     };
-    note_rejected(context, table, terms, reason);
+    record_rejected(context, table, terms, reason);
     actix_http::Response::build(StatusCode::UNAUTHORIZED)
         .insert_header((header::WWW_AUTHENTICATE, CHALLENGE))
         .body(body)
@@ -100,7 +100,7 @@
     table: &route_table::RouteTable,
     terms: &wire::CallerTerms,
 ) -> http_server::HttpResponse {
-    note_rejected(context, table, terms, "key_undecided");
+    record_rejected(context, table, terms, "key_undecided");
     refused(
         StatusCode::SERVICE_UNAVAILABLE,
         UNDECIDED_PAUSE,
@@ -108,7 +108,7 @@
     )
 }
 
-fn note_rejected(
+fn record_rejected(
     context: &context::ProcessContext,
     table: &route_table::RouteTable,
     terms: &wire::CallerTerms,
--- a/src/serving/selection.rs
+++ b/src/serving/selection.rs
@@ -43,20 +43,20 @@
     }
 
     /// Takes the word of a holder of a place that the endpoint served it.
-    pub fn note_served(&mut self, id: &ids::EndpointId) {
-        self.reported.note_success(id);
+    pub fn record_served(&mut self, id: &ids::EndpointId) {
+        self.reported.record_success(id);
     }
 
     /// Takes the word of a holder of a place that the endpoint failed; says
     /// whether the endpoint is left out for it from now on.
-    pub fn note_peer_failure(
+    pub fn record_peer_failure(
         &mut self,
         id: &ids::EndpointId,
         failure: &health::FailureReport,
         now: clock::MonotonicTime,
     ) -> bool {
         let before = self.reported.is_ejected(id, now);
-        self.reported.note_report(id, failure, now);
+        self.reported.record_report(id, failure, now);
         !before && self.reported.is_ejected(id, now)
     }
 
@@ -68,7 +68,7 @@
     }
 
     /// Takes an endpoint's own report.
-    pub fn note_report(
+    pub fn record_report(
         &mut self,
         id: &ids::EndpointId,
         report: wire::ReportedLoad,
@@ -83,7 +83,7 @@
     /// Takes an endpoint's refusal: it had as many requests as it takes.
     ///
     /// Without it the endpoint would look free to this process, and its refusals fast.
-    pub fn note_full(&mut self, endpoint: &directory::EndpointEntry, now: clock::MonotonicTime) {
+    pub fn record_full(&mut self, endpoint: &directory::EndpointEntry, now: clock::MonotonicTime) {
         let load = self.loads.entry(endpoint.id.clone()).or_default();
         load.others = load.others.max(endpoint.slots);
         load.reported_at = Some(now);
--- a/src/serving/places.rs
+++ b/src/serving/slots.rs
@@ -2,7 +2,7 @@
 
 use std::{cell, net, rc, time};
 
-use super::{context, directory, endpoint_news, peer_calls, peers};
+use super::{context, directory, endpoint_reports, peer_calls, peers};
 use crate::{
     clock,
     decisions::{admission, owner_order},
@@ -17,7 +17,7 @@
 const UNKNOWN_ROOM: u32 = 8;
 
 /// A place that is held until this is dropped.
-pub struct HeldPlace {
+pub struct HeldSlot {
     context: rc::Rc<context::ProcessContext>,
     /// The endpoint.
     pub endpoint: rc::Rc<directory::EndpointEntry>,
@@ -26,54 +26,54 @@
     taken: clock::MonotonicTime,
 }
 
-impl HeldPlace {
+impl HeldSlot {
     /// When it was taken.
     pub fn taken(&self) -> clock::MonotonicTime {
         self.taken
     }
 
     /// Notes that the endpoint served the request, or goes on doing so.
-    pub fn note_served(&self) {
+    pub fn record_served(&self) {
         let mut loads = self.context.loads.borrow_mut();
-        loads.health.note_success(&self.endpoint.id);
+        loads.health.record_success(&self.endpoint.id);
         if !self.is_served.replace(true) {
-            self.context.fleet.note_named(&self.endpoint.id);
+            self.context.fleet.record_named(&self.endpoint.id);
             let mut firsts = self.context.firsts.borrow_mut();
             let first = firsts.entry(self.endpoint.service.clone()).or_default();
-            first.note(self.context.clock.now().since(self.taken));
+            first.record(self.context.clock.now().since(self.taken));
         }
     }
 
     /// Notes that the endpoint goes on, if it was taken for failed.
-    pub fn note_going_on(&self) {
+    pub fn record_progress(&self) {
         if !self.is_served.replace(true) {
             let mut loads = self.context.loads.borrow_mut();
-            loads.health.note_success(&self.endpoint.id);
+            loads.health.record_success(&self.endpoint.id);
         }
     }
 
     /// Notes that the endpoint failed, or did not answer at all, and tells its owner.
-    pub fn note_failed(&self, is_silent: bool) {
+    pub fn record_failed(&self, is_silent: bool) {
         self.is_served.set(false);
-        self.tell(endpoint_news::failure(&self.context, is_silent));
+        self.tell(endpoint_reports::failure(&self.context, is_silent));
     }
 
     /// Notes that the endpoint did not run an attempt, and tells its owner.
-    pub fn note_refused(&self, reason: outcome::NotRunReason) {
+    pub fn record_refused(&self, reason: outcome::NotRunReason) {
         self.is_served.set(false);
-        endpoint_news::count_refusal(&self.context, reason);
-        if let Some(news) = endpoint_news::of_refusal(&self.context, reason) {
-            self.tell(news);
+        endpoint_reports::count_refusal(&self.context, reason);
+        if let Some(observation) = endpoint_reports::of_refusal(&self.context, reason) {
+            self.tell(observation);
         }
     }
 
-    fn tell(&self, news: peers::EndpointNews) {
-        let giver = match self.permit {
-            None => endpoint_news::PlaceGiver::Nobody,
-            Some(HeldPermit::Here(_)) => endpoint_news::PlaceGiver::Here,
-            Some(HeldPermit::Peer(owner, _)) => endpoint_news::PlaceGiver::Peer(owner),
+    fn tell(&self, observation: peers::EndpointObservation) {
+        let grantor = match self.permit {
+            None => endpoint_reports::SlotGrantor::Nobody,
+            Some(HeldPermit::Here(_)) => endpoint_reports::SlotGrantor::Here,
+            Some(HeldPermit::Peer(owner, _)) => endpoint_reports::SlotGrantor::Peer(owner),
         };
-        endpoint_news::note(&self.context, &self.endpoint, giver, news);
+        endpoint_reports::record(&self.context, &self.endpoint, grantor, observation);
     }
 }
 
@@ -83,7 +83,7 @@
     Peer(net::SocketAddr, admission::PermitNumber),
 }
 
-impl Drop for HeldPlace {
+impl Drop for HeldSlot {
     fn drop(&mut self) {
         self.context.loads.borrow_mut().end(&self.endpoint.id);
         if let Some(permit) = &self.permit {
@@ -94,7 +94,7 @@
 
 /// Why there is no place.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum NoPlace {
+pub enum SlotUnavailable {
     /// No endpoint of the service is listed, or all were tried.
     #[error("no endpoint of the service is left")]
     NoEndpoint,
@@ -104,14 +104,14 @@
 }
 
 /// What one owner said.
-enum OwnerWord {
-    Place(HeldPlace),
-    None(SlotWord),
+enum OwnerReply {
+    Slot(HeldSlot),
+    None(SlotReply),
 }
 
 /// What an owner said that gave no place.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum SlotWord {
+pub enum SlotReply {
     /// There is none; so many places are left in queues.
     Full(u32),
     /// It owns no endpoint of the service.
@@ -121,14 +121,14 @@
 }
 
 /// Whether a service is full: all owners that were asked and own a part of it say so.
-pub fn all_full(words: &[SlotWord]) -> bool {
-    let is_full = |word: &SlotWord| matches!(word, SlotWord::Full(_));
-    words.iter().any(is_full) && !words.contains(&SlotWord::Silent)
+pub fn all_full(replies: &[SlotReply]) -> bool {
+    let is_full = |word: &SlotReply| matches!(word, SlotReply::Full(_));
+    replies.iter().any(is_full) && !replies.contains(&SlotReply::Silent)
 }
 
 /// What a place is to be for.
 #[derive(Debug, Clone, Copy)]
-pub struct PlaceRequest<'a> {
+pub struct SlotParams<'a> {
     /// The service that is to serve it.
     pub service: &'a ids::ServiceName,
     /// Endpoints that were tried.
@@ -140,18 +140,18 @@
 /// Finds a place for a request.
 ///
 /// # Errors
-/// See [`NoPlace`].
+/// See [`SlotUnavailable`].
 pub async fn acquire(
     context: &rc::Rc<context::ProcessContext>,
-    request: &PlaceRequest<'_>,
-) -> Result<HeldPlace, NoPlace> {
-    if let Some(place) = ask_relay(context, request, true).await {
-        return Ok(place);
+    request: &SlotParams<'_>,
+) -> Result<HeldSlot, SlotUnavailable> {
+    if let Some(slot) = ask_relay(context, request, true).await {
+        return Ok(slot);
     }
     match ask_owners(context, request).await {
-        OwnerWord::Place(place) => Ok(place),
-        OwnerWord::None(SlotWord::Full(_)) => Err(NoPlace::Full),
-        OwnerWord::None(_) => go_ahead(context, request.service, request.tried),
+        OwnerReply::Slot(slot) => Ok(slot),
+        OwnerReply::None(SlotReply::Full(_)) => Err(SlotUnavailable::Full),
+        OwnerReply::None(_) => go_ahead(context, request.service, request.tried),
     }
 }
 
@@ -159,70 +159,72 @@
 ///
 /// # Errors
 /// None gave one: what each of them said.
-pub(super) async fn ask_for_slot<'a>(
+pub(super) async fn request_slot<'a>(
     context: &rc::Rc<context::ProcessContext>,
-    request: &PlaceRequest<'_>,
+    request: &SlotParams<'_>,
     owners: &'a [ids::InstanceId],
-) -> Result<HeldPlace, Vec<(SlotWord, &'a ids::InstanceId)>> {
-    let mut words = Vec::new();
+) -> Result<HeldSlot, Vec<(SlotReply, &'a ids::InstanceId)>> {
+    let mut replies = Vec::new();
     for owner in owners.iter().take(OWNERS_ASKED) {
-        let place = place_ask(context, request);
-        match ask(context, owner, place).await {
-            OwnerWord::Place(place) => return Ok(place),
-            OwnerWord::None(word) => words.push((word, owner)),
+        let slot = online_slot_request(context, request);
+        match ask(context, owner, slot).await {
+            OwnerReply::Slot(slot) => return Ok(slot),
+            OwnerReply::None(word) => replies.push((word, owner)),
         }
     }
-    Err(words)
+    Err(replies)
 }
 
 /// Finds a place where a new request would be refused too, for one that has begun.
 ///
 /// # Errors
 /// No endpoint is left.
-pub async fn any_place(
+pub async fn any_slot(
     context: &rc::Rc<context::ProcessContext>,
-    request: &PlaceRequest<'_>,
-) -> Result<HeldPlace, NoPlace> {
+    request: &SlotParams<'_>,
+) -> Result<HeldSlot, SlotUnavailable> {
     match acquire(context, request).await {
-        Err(NoPlace::Full) => go_ahead(context, request.service, request.tried),
-        place => place,
+        Err(SlotUnavailable::Full) => go_ahead(context, request.service, request.tried),
+        slot => slot,
     }
 }
 
 /// Asks a few owners for a free place, and if all are full for one in a queue.
 async fn ask_owners(
     context: &rc::Rc<context::ProcessContext>,
-    request: &PlaceRequest<'_>,
-) -> OwnerWord {
+    request: &SlotParams<'_>,
+) -> OwnerReply {
     let service = request.service;
     let owners = owner_order(context, service);
-    let told = match ask_for_slot(context, request, &owners).await {
-        Ok(place) => return OwnerWord::Place(place),
+    let told = match request_slot(context, request, &owners).await {
+        Ok(slot) => return OwnerReply::Slot(slot),
         Err(told) => told,
     };
-    let words: Vec<_> = told.iter().map(|(word, _)| *word).collect();
-    if !all_full(&words) {
-        return OwnerWord::None(SlotWord::Silent);
+    let replies: Vec<_> = told.iter().map(|(word, _)| *word).collect();
+    if !all_full(&replies) {
+        return OwnerReply::None(SlotReply::Silent);
     }
     let roomy = told.iter().filter_map(|(word, owner)| match word {
-        SlotWord::Full(queue_room) if *queue_room > 0 => Some((queue_room, owner)),
+        SlotReply::Full(free_queue_slots) if *free_queue_slots > 0 => {
+            Some((free_queue_slots, owner))
+        }
         _ => None,
     });
     if let Some((_, owner)) = roomy.max() {
-        let queued = peers::PlaceAsk {
+        let queued = peers::OnlineSlotRequest {
             may_queue: true,
-            ..place_ask(context, request)
+            ..online_slot_request(context, request)
         };
-        if let OwnerWord::Place(place) = ask(context, owner, queued).await {
-            return OwnerWord::Place(place);
+        if let OwnerReply::Slot(slot) = ask(context, owner, queued).await {
+            return OwnerReply::Slot(slot);
         }
     }
     log::info!(
         "event=no_place service={service} owners_asked={} owners={}",
-        words.len(),
+        replies.len(),
         owners.len()
     );
-    OwnerWord::None(SlotWord::Full(0))
+    OwnerReply::None(SlotReply::Full(0))
 }
 
 /// Chooses on this process's own counts.
@@ -233,16 +235,16 @@
     context: &rc::Rc<context::ProcessContext>,
     service: &ids::ServiceName,
     tried: &[ids::EndpointId],
-) -> Result<HeldPlace, NoPlace> {
+) -> Result<HeldSlot, SlotUnavailable> {
     let directory = context.fleet.directory.borrow();
     let candidates = directory.of_service(service);
     let now = context.clock.now();
     let loads = context.loads.borrow();
     let chosen = loads.choose(candidates, tried, context.domain(), now, &mut rand::rng());
     drop(loads);
-    let endpoint = chosen.ok_or(NoPlace::NoEndpoint)?;
+    let endpoint = chosen.ok_or(SlotUnavailable::NoEndpoint)?;
     context.loads.borrow_mut().begin(&endpoint.id);
-    Ok(HeldPlace {
+    Ok(HeldSlot {
         context: context.clone(),
         endpoint,
         permit: None,
@@ -256,11 +258,11 @@
     context: &context::ProcessContext,
     service: &ids::ServiceName,
 ) -> Vec<ids::InstanceId> {
-    let rooms = context.rooms.borrow();
+    let free_slots = context.free_slots.borrow();
     let owners = context.owners();
-    let is_heard = |id: &ids::InstanceId| id == context.id() || context.hears(id);
+    let is_heard = |id: &ids::InstanceId| id == context.id() || context.receives_from(id);
     // A service of few endpoints has few owners: the others need not be asked.
-    let owns = |id: &ids::InstanceId| rooms.contains_key(&(id.clone(), service.clone()));
+    let owns = |id: &ids::InstanceId| free_slots.contains_key(&(id.clone(), service.clone()));
     let is_told = owners.iter().any(|owner| owns(&owner.id));
     let asked = owners.iter().filter(|owner| is_heard(&owner.id));
     let asked = asked.filter(|o| !is_told || o.id == *context.id() || owns(&o.id));
@@ -268,15 +270,18 @@
         let key = (owner.id.clone(), service.clone());
         owner_order::OwnerCapacity {
             id: owner.id.clone(),
-            room: rooms.get(&key).copied().unwrap_or(UNKNOWN_ROOM),
+            free_slots: free_slots.get(&key).copied().unwrap_or(UNKNOWN_ROOM),
             is_same_domain: owner.domain == *context.domain(),
         }
     });
     owner_order::draw_order(known.collect(), &mut rand::rng())
 }
 
-fn place_ask(context: &context::ProcessContext, request: &PlaceRequest<'_>) -> peers::PlaceAsk {
-    let PlaceRequest { service, tried, .. } = *request;
+fn online_slot_request(
+    context: &context::ProcessContext,
+    request: &SlotParams<'_>,
+) -> peers::OnlineSlotRequest {
+    let SlotParams { service, tried, .. } = *request;
     let first = context.firsts.borrow().get(service).copied();
     let directory = context.fleet.directory.borrow();
     let count = directory.of_service(service).len();
@@ -289,7 +294,7 @@
     let shunned = loads.shunned(count, is_listed, context.clock.now());
     let mut unwanted = tried.to_vec();
     unwanted.extend(shunned.into_iter().filter(|id| !tried.contains(id)));
-    peers::PlaceAsk {
+    peers::OnlineSlotRequest {
         number: rand::random(),
         holder: context.run.clone(),
         domain: context.domain().clone(),
@@ -303,14 +308,14 @@
 /// Asks an owner through a gateway that hears it, if this process is cut off.
 pub(super) async fn ask_relay(
     context: &rc::Rc<context::ProcessContext>,
-    request: &PlaceRequest<'_>,
+    request: &SlotParams<'_>,
     may_queue: bool,
-) -> Option<HeldPlace> {
+) -> Option<HeldSlot> {
     let relays = context.relays();
     let relay = relays.get(rand::random_range(0..relays.len().max(1)))?;
-    let ask = peers::PlaceAsk {
+    let ask = peers::OnlineSlotRequest {
         may_queue,
-        ..place_ask(context, request)
+        ..online_slot_request(context, request)
     };
     let permit = HeldPermit::Peer(relay.address, ask.number);
     match context
@@ -330,8 +335,8 @@
 /// Asks the owners for a peer that is cut off from them.
 pub async fn ask_for_peer(
     context: &rc::Rc<context::ProcessContext>,
-    mut ask: peers::PlaceAsk,
-) -> Option<peers::PlaceAnswer> {
+    mut ask: peers::OnlineSlotRequest,
+) -> Option<peers::OnlineSlotResponse> {
     // The owners do not hear the peer, and would take its places back.
     ask.holder = context.run.clone();
     let number = ask.number;
@@ -364,53 +369,53 @@
 async fn ask(
     context: &rc::Rc<context::ProcessContext>,
     owner: &ids::InstanceId,
-    ask: peers::PlaceAsk,
-) -> OwnerWord {
+    ask: peers::OnlineSlotRequest,
+) -> OwnerReply {
     let number = ask.number;
     let service = &ask.service.clone();
     let (answer, permit) = if owner == context.id() {
         (peer_calls::grant(context, &ask), HeldPermit::Here(number))
     } else {
         let Some(address) = context.members.borrow().address_of(owner) else {
-            return OwnerWord::None(SlotWord::Silent);
+            return OwnerReply::None(SlotReply::Silent);
         };
         match context.links.acquire(address, ask, OWNER_TIMEOUT).await {
             Ok(answer) => (answer, HeldPermit::Peer(address, number)),
             Err(e) => {
                 count_permit(context, "silent");
-                set_room(context, owner, service, 0);
+                set_free_slots(context, owner, service, 0);
                 // The grant may come late: it must not hold a place until it expires.
                 end_permit(context, &HeldPermit::Peer(address, number), false);
                 log::info!("event=owner_silent owner={owner} why=\"{e}\"");
-                return OwnerWord::None(SlotWord::Silent);
+                return OwnerReply::None(SlotReply::Silent);
             }
         }
     };
     if !answer.owns {
         count_permit(context, "not_owner");
         let key = (owner.clone(), service.clone());
-        context.rooms.borrow_mut().remove(&key);
-        return OwnerWord::None(SlotWord::NotOwner);
+        context.free_slots.borrow_mut().remove(&key);
+        return OwnerReply::None(SlotReply::NotOwner);
     }
-    set_room(context, owner, service, answer.room);
+    set_free_slots(context, owner, service, answer.free_slots);
     if answer.endpoint.is_none() {
         count_permit(context, "full");
-        return OwnerWord::None(SlotWord::Full(answer.queue_room));
+        return OwnerReply::None(SlotReply::Full(answer.free_queue_slots));
     }
     match take_answer(context, owner, answer, permit) {
-        Some(place) => OwnerWord::Place(place),
-        None => OwnerWord::None(SlotWord::Silent),
+        Some(slot) => OwnerReply::Slot(slot),
+        None => OwnerReply::None(SlotReply::Silent),
     }
 }
 
-fn set_room(
+fn set_free_slots(
     context: &context::ProcessContext,
     owner: &ids::InstanceId,
     service: &ids::ServiceName,
-    room: u32,
+    free_slots: u32,
 ) {
     let key = (owner.clone(), service.clone());
-    context.rooms.borrow_mut().insert(key, room);
+    context.free_slots.borrow_mut().insert(key, free_slots);
 }
 
 fn count_permit(context: &context::ProcessContext, outcome: &str) {
@@ -421,9 +426,9 @@
 fn take_answer(
     context: &rc::Rc<context::ProcessContext>,
     from: &ids::InstanceId,
-    answer: peers::PlaceAnswer,
+    answer: peers::OnlineSlotResponse,
     permit: HeldPermit,
-) -> Option<HeldPlace> {
+) -> Option<HeldSlot> {
     let id = answer.endpoint?;
     let found = context.fleet.directory.borrow().usable(&id).cloned();
     let Some(endpoint) = found else {
@@ -433,7 +438,7 @@
     };
     count_permit(context, "granted");
     context.loads.borrow_mut().begin(&endpoint.id);
-    Some(HeldPlace {
+    Some(HeldSlot {
         context: context.clone(),
         endpoint,
         permit: Some(permit),
@@ -444,7 +449,7 @@
 
 /// Gives a permit back.
 fn end_permit(context: &context::ProcessContext, permit: &HeldPermit, is_served: bool) {
-    let release = |number| peers::PlaceRelease { number, is_served };
+    let release = |number| peers::SlotRelease { number, is_served };
     match *permit {
         HeldPermit::Here(number) => peer_calls::release(context, release(number)),
         HeldPermit::Peer(peer, number) => context.links.release(peer, release(number)),
--- a/src/serving/slow_attempt.rs
+++ b/src/serving/slow_attempt.rs
@@ -10,7 +10,7 @@
 
 use futures::future::{self, FutureExt as _};
 
-use super::{attempt, attempt_flow, connection, context, directory, places, relay, search_pace};
+use super::{attempt, attempt_flow, connection, context, directory, relay, search_pace, slots};
 use crate::{clock, ids, outcome};
 
 /// Part of an objective after which a silent attempt is taken for slow.
@@ -80,27 +80,27 @@
     /// Waits for an endpoint to the end of the caller's time, or until another goes on.
     pub(super) async fn wait_or_move<T>(
         &mut self,
-        place: &places::HeldPlace,
+        slot: &slots::HeldSlot,
         awaited: Awaited,
         waiting: impl future::Future<Output = T>,
     ) -> Waited<T> {
         let begun = clock::BootInstant::now();
         tokio::pin!(waiting);
         let Some(slow_after) = self.slow_after(awaited) else {
-            return self.wait_alone(place, awaited, waiting).await;
+            return self.wait_alone(slot, awaited, waiting).await;
         };
         let slow_after = slow_after.min(self.left());
         if let Ok(done) = tokio::time::timeout(slow_after, &mut waiting).await {
             return Waited::Came(done);
         }
-        self.note_slow(place, awaited, slow_after);
-        let mut search = SlowSearch::new(place, &self.log);
+        self.record_slow(slot, awaited, slow_after);
+        let mut search = SlowSearch::new(slot, &self.log);
         if awaited == Awaited::Head {
             search.queue_from = Some(begun + slow_after * QUEUE_WAITS);
             search.may_be_silent = self.log.is_kept.get();
         }
-        let gone = machine_gone(place.endpoint.clone(), self.left(), self.begin_check());
-        let ended = run_ended(self.context.clone(), place.endpoint.clone());
+        let gone = machine_gone(slot.endpoint.clone(), self.left(), self.begin_check());
+        let ended = run_ended(self.context.clone(), slot.endpoint.clone());
         tokio::pin!(gone, ended);
         while self.may_move(awaited) {
             tokio::select! {
@@ -109,8 +109,8 @@
                 () = self.time_over() => return Waited::Lost(begun.elapsed()),
                 () = &mut gone => return Waited::Lost(begun.elapsed()),
                 () = &mut ended => return Waited::Lost(begun.elapsed()),
-                found = search.next_place(self) => {
-                    search.passed_over.push(found.place.endpoint.id.clone());
+                found = search.next_slot(self) => {
+                    search.passed_over.push(found.slot.endpoint.id.clone());
                     if let Some(sent) = self.hand_over(found).await {
                         return Waited::Moved(Box::new(sent), begun.elapsed());
                     }
@@ -138,7 +138,7 @@
     /// Waits for the only endpoint that may run the request.
     async fn wait_alone<T>(
         &self,
-        place: &places::HeldPlace,
+        slot: &slots::HeldSlot,
         awaited: Awaited,
         waiting: impl future::Future<Output = T>,
     ) -> Waited<T> {
@@ -146,14 +146,14 @@
         let waiting = async {
             match awaited {
                 Awaited::NextEvent => waiting.await,
-                _ => self.suspecting(place, waiting).await,
+                _ => self.suspecting(slot, waiting).await,
             }
         };
         tokio::select! {
             biased;
             done = waiting => Waited::Came(done),
             () = self.time_over() => Waited::Lost(begun.elapsed()),
-            () = run_ended(self.context.clone(), place.endpoint.clone()) => {
+            () = run_ended(self.context.clone(), slot.endpoint.clone()) => {
                 Waited::Lost(begun.elapsed())
             }
         }
@@ -162,44 +162,44 @@
     /// Notes a run that is slow for the first time; the owner hears of it.
     ///
     /// A run whose every event is late would else be told of with each.
-    fn note_slow(&self, place: &places::HeldPlace, awaited: Awaited, waited: time::Duration) {
+    fn record_slow(&self, slot: &slots::HeldSlot, awaited: Awaited, waited: time::Duration) {
         if self.log.slow_pace.get().is_some() {
             return;
         }
         log::info!(
             "event=endpoint_slow request={} endpoint={} awaited={awaited:?} waited_ms={} left_ms={}",
             self.request.terms.id.as_deref().unwrap_or("-"),
-            place.endpoint.id,
+            slot.endpoint.id,
             waited.as_millis(),
             self.left().as_millis(),
         );
         if awaited == Awaited::Head {
             // A kept connection may be silent for good, and others with it.
-            self.context.pool.forget(place.endpoint.address);
+            self.context.pool.forget(slot.endpoint.address);
         }
-        place.note_failed(awaited == Awaited::NextEvent);
+        slot.record_failed(awaited == Awaited::NextEvent);
     }
 
     /// Sends the request to the next endpoint; gives the attempt unless it failed at once.
     ///
     /// The slow run is not read meanwhile: its events still count if this fails,
     /// and none of them goes out twice if it does not.
-    async fn hand_over(&mut self, found: FoundPlace) -> Option<attempt_flow::SentAttempt> {
+    async fn hand_over(&mut self, found: FoundSlot) -> Option<attempt_flow::SentAttempt> {
         let opened = match found.connection {
             Ok(opened) => opened,
             Err(proof) => {
                 let told = outcome::AttemptOutcome::NotRun(proof);
-                self.note_not_moved(found.place, told);
+                self.record_not_moved(found.slot, told);
                 return None;
             }
         };
-        let id = found.place.endpoint.id.clone();
-        let mut sent = self.start(found.place, Some(opened));
+        let id = found.slot.endpoint.id.clone();
+        let mut sent = self.start(found.slot, Some(opened));
         let timeout = HANDOVER_TIME.min(self.left());
         let told = tokio::time::timeout(timeout, &mut sent.sending).await;
         match told {
             Ok(outcome) if !self.goes_on(&outcome) => {
-                self.note_not_moved(sent.place, outcome);
+                self.record_not_moved(sent.slot, outcome);
                 return None;
             }
             Ok(outcome) => sent.sending = future::ready(outcome).boxed_local(),
@@ -219,14 +219,14 @@
     }
 
     /// Counts an attempt that does not go on, as any other.
-    fn note_not_moved(
+    fn record_not_moved(
         &mut self,
-        place: places::HeldPlace,
+        slot: slots::HeldSlot,
         told: outcome::AttemptOutcome<attempt::OpenResponse>,
     ) {
-        if let Ok(answered) = self.judge(place, told) {
+        if let Ok(answered) = self.classify(slot, told) {
             let status = answered.open.incoming.head.status;
-            self.note_attempt(&answered.place.endpoint.id, "failed", status.as_str());
+            self.record_attempt(&answered.slot.endpoint.id, "failed", status.as_str());
         }
     }
 }
@@ -235,8 +235,8 @@
 ///
 /// It is made before the slow run is put aside, and always anew: a kept one
 /// may be silent, and so be worse than the slow run.
-struct FoundPlace {
-    place: places::HeldPlace,
+struct FoundSlot {
+    slot: slots::HeldSlot,
     connection: Result<connection::EndpointConnection, outcome::NotRunProof>,
 }
 
@@ -252,9 +252,9 @@
 }
 
 impl SlowSearch {
-    fn new(place: &places::HeldPlace, log: &attempt_flow::AttemptLog) -> Self {
+    fn new(slot: &slots::HeldSlot, log: &attempt_flow::AttemptLog) -> Self {
         Self {
-            slow: place.endpoint.id.clone(),
+            slow: slot.endpoint.id.clone(),
             passed_over: log.tried.clone(),
             queue_from: None,
             may_be_silent: false,
@@ -262,16 +262,16 @@
     }
 
     /// The next place, whenever there is one.
-    async fn next_place(&mut self, relay: &relay::RequestRelay) -> FoundPlace {
+    async fn next_slot(&mut self, relay: &relay::RequestRelay) -> FoundSlot {
         loop {
             Self::pause(relay).await;
-            let Some(place) = self.ask(relay).await else {
+            let Some(slot) = self.ask(relay).await else {
                 // Those that refused or failed may take it in the next round.
                 self.passed_over = vec![self.slow.clone()];
                 continue;
             };
-            let connection = attempt::connect(&place.endpoint, relay.left()).await;
-            return FoundPlace { place, connection };
+            let connection = attempt::connect(&slot.endpoint, relay.left()).await;
+            return FoundSlot { slot, connection };
         }
     }
 
@@ -292,7 +292,7 @@
     }
 
     /// Asks once. An answer that comes too late is taken, and its place given back.
-    async fn ask(&self, relay: &relay::RequestRelay) -> Option<places::HeldPlace> {
+    async fn ask(&self, relay: &relay::RequestRelay) -> Option<slots::HeldSlot> {
         let service = relay.choose_service()?;
         let may_queue = self
             .queue_from
@@ -309,18 +309,18 @@
         let context = rc::Rc::clone(&relay.context);
         let objective = relay.request.route.objective;
         let asking = actix_rt::spawn(async move {
-            let request = places::PlaceRequest {
+            let request = slots::SlotParams {
                 service: &service,
                 tried: &tried,
                 objective,
             };
             match may_queue {
-                true => places::any_place(&context, &request).await,
-                false => free_place(&context, &request).await,
+                true => slots::any_slot(&context, &request).await,
+                false => free_slot(&context, &request).await,
             }
         });
         match asking.await {
-            Ok(place) => place.ok(),
+            Ok(slot) => slot.ok(),
             Err(e) => {
                 log::warn!("event=place_unasked why=\"{e}\"");
                 None
@@ -373,18 +373,18 @@
 ///
 /// This process's own counts are used only while it hears no owner: one that
 /// is heard but late has a bad link between, as may the slow endpoint have.
-async fn free_place(
+async fn free_slot(
     context: &rc::Rc<context::ProcessContext>,
-    request: &places::PlaceRequest<'_>,
-) -> Result<places::HeldPlace, places::NoPlace> {
-    let owners = places::owner_order(context, request.service);
+    request: &slots::SlotParams<'_>,
+) -> Result<slots::HeldSlot, slots::SlotUnavailable> {
+    let owners = slots::owner_order(context, request.service);
     if !owners.is_empty() {
-        let asked = places::ask_for_slot(context, request, &owners).await;
-        return asked.map_err(|_| places::NoPlace::Full);
+        let asked = slots::request_slot(context, request, &owners).await;
+        return asked.map_err(|_| slots::SlotUnavailable::Full);
     }
     if !context.relays().is_empty() {
-        let asked = places::ask_relay(context, request, false).await;
-        return asked.ok_or(places::NoPlace::Full);
+        let asked = slots::ask_relay(context, request, false).await;
+        return asked.ok_or(slots::SlotUnavailable::Full);
     }
-    places::go_ahead(context, request.service, request.tried)
+    slots::go_ahead(context, request.service, request.tried)
 }
--- a/src/serving/state_copy.rs
+++ b/src/serving/state_copy.rs
@@ -169,8 +169,8 @@
     /// Finds a copy, and counts it as used.
     fn find(&self, wanted: impl Fn(&StateCopy) -> bool) -> Option<StateCopy> {
         let mut copies = self.copies.borrow_mut();
-        let place = copies.iter().position(wanted)?;
-        let copy = copies.remove(place)?;
+        let slot = copies.iter().position(wanted)?;
+        let copy = copies.remove(slot)?;
         copies.push_back(copy.clone());
         Some(copy)
     }
--- a/src/serving/state_transfer.rs
+++ b/src/serving/state_transfer.rs
@@ -121,11 +121,11 @@
         let added = self.incoming().add(part);
         match added {
             O::Added => {
-                self.note_part(peer);
+                self.record_part(peer);
                 NextStep::From(self.next_peer(peer, took))
             }
             O::Whole(state) => {
-                self.note_part(peer);
+                self.record_part(peer);
                 self.take_whole(peer, copy, state);
                 NextStep::Stop
             }
@@ -138,7 +138,7 @@
         }
     }
 
-    fn note_part(&mut self, peer: net::SocketAddr) {
+    fn record_part(&mut self, peer: net::SocketAddr) {
         self.parts += 1;
         self.failures = 0;
         self.source = Some(peer);
@@ -157,8 +157,8 @@
             self.parts,
             self.begun.elapsed().as_millis()
         );
-        let news = fleet_source::FleetUpdate::State(state);
-        self.context.fleet.take(news);
+        let update = fleet_source::FleetUpdate::State(state);
+        self.context.fleet.take(update);
     }
 
     /// A part of another copy: goes back to the peer that has the copy that is
@@ -176,7 +176,7 @@
         let added = self.incoming().add(part);
         match added {
             state_copy::PartOutcome::Added => {
-                self.note_part(peer);
+                self.record_part(peer);
                 NextStep::From(peer)
             }
             _ => NextStep::Stop,
--- a/src/serving/views.rs
+++ b/src/serving/views.rs
@@ -202,7 +202,7 @@
     limit_links::settle_deposit(&context, deposit, &answer);
     match answer {
         Ok(hello) if hello.id == record.id => {
-            limit_links::note_stamp(&context, &hello);
+            limit_links::record_stamp(&context, &hello);
             hear(&context, &hello);
             crash_guard::learn(&context, record.address, &hello);
             catch_up(&context, record.address, &hello).await;
@@ -239,7 +239,7 @@
 }
 
 fn hear(context: &context::ProcessContext, hello: &peers::PeerHello) {
-    let heard = note_heard(context, hello);
+    let heard = record_heard(context, hello);
     if heard == members::HeardRun::Next {
         log::info!("event=peer_restarted peer={} run={}", hello.id, hello.run);
     }
@@ -249,21 +249,21 @@
 }
 
 /// Takes what a peer says of itself.
-fn note_heard(context: &context::ProcessContext, hello: &peers::PeerHello) -> members::HeardRun {
+fn record_heard(context: &context::ProcessContext, hello: &peers::PeerHello) -> members::HeardRun {
     let now = context.clock.now();
     let heartbeat = members::PeerHeartbeat {
         run: hello.run,
         leaving: hello.leaving,
-        hears: hello.hears.clone(),
+        receives_from: hello.receives_from.clone(),
         follows_store: hello.follows_store,
         version: hello.version,
     };
     let mut members = context.members.borrow_mut();
-    let heard = members.note_heard(&hello.id, heartbeat, now);
-    let mut rooms = context.rooms.borrow_mut();
-    rooms.retain(|(id, _), _| *id != hello.id);
-    for (service, room) in &hello.rooms {
-        rooms.insert((hello.id.clone(), service.clone()), *room);
+    let heard = members.record_heard(&hello.id, heartbeat, now);
+    let mut free_slots = context.free_slots.borrow_mut();
+    free_slots.retain(|(id, _), _| *id != hello.id);
+    for (service, count) in &hello.free_slots {
+        free_slots.insert((hello.id.clone(), service.clone()), *count);
     }
     heard
 }
@@ -307,8 +307,8 @@
             count_read(context, "endpoints_taken");
             let (id, revision) = (&hello.id, copy.revision);
             log::info!("event=endpoints_from_peer peer={id} revision={revision}");
-            let news = fleet_source::FleetUpdate::PeerEndpoints(copy);
-            context.fleet.take(news);
+            let update = fleet_source::FleetUpdate::PeerEndpoints(copy);
+            context.fleet.take(update);
         }
         Err(e) => {
             count_read(context, "endpoints_missing");
--- a/src/serving/workspaces/limiter.rs
+++ b/src/serving/workspaces/limiter.rs
@@ -55,7 +55,7 @@
 /// Tokens of a gateway, and the requests for more that are under way.
 #[derive(Default)]
 pub struct Limiter {
-    stock: cell::RefCell<token_cache::TokenCache>,
+    cache: cell::RefCell<token_cache::TokenCache>,
     flights: cell::RefCell<collections::HashMap<ids::WorkspaceId, rc::Rc<AskFlight>>>,
 }
 
@@ -94,14 +94,16 @@
         source: &dyn GrantSource,
         clock: &dyn clock::MonotonicClock,
     ) -> LimitVerdict {
-        self.stock.borrow_mut().note_request(workspace, clock.now());
+        self.cache
+            .borrow_mut()
+            .record_request(workspace, clock.now());
         let begun = clock.now();
         loop {
             let now = clock.now();
-            if self.stock.borrow_mut().spend(workspace, now) {
+            if self.cache.borrow_mut().spend(workspace, now) {
                 return LimitVerdict::Admitted;
             }
-            if let Some(denial) = self.stock.borrow().denial(workspace, now) {
+            if let Some(denial) = self.cache.borrow().denial(workspace, now) {
                 return refusal(denial);
             }
             if now.since(begun) > FLIGHT_TIMEOUT {
@@ -117,12 +119,12 @@
 
     /// Gives back the token of a request that was not run.
     pub fn give_back(&self, workspace: &ids::WorkspaceId, now: clock::MonotonicTime) {
-        self.stock.borrow_mut().put(workspace, 1, now);
+        self.cache.borrow_mut().put(workspace, 1, now);
     }
 
     /// Forgets workspaces without requests since a moment.
     pub fn forget_idle(&self, since: clock::MonotonicTime) {
-        self.stock.borrow_mut().forget_idle(since);
+        self.cache.borrow_mut().forget_idle(since);
     }
 
     /// Asks the keepers of a workspace in turn, and notes what they say.
@@ -140,8 +142,8 @@
             Ok(()) => return,
             Err(denial) => denial,
         };
-        let mut stock = self.stock.borrow_mut();
-        stock.note_denial(workspace, denial, clock.now());
+        let mut cache = self.cache.borrow_mut();
+        cache.record_denial(workspace, denial, clock.now());
     }
 
     /// Asks the keepers one after the other; who is slow is asked beside the next one.
@@ -174,7 +176,7 @@
                 biased;
                 Some((answer, asked_at)) = asks.next() => match answer {
                     Some(limit_messages::GrantAnswer::Tokens(count)) => {
-                        self.stock.borrow_mut().put(workspace, count, asked_at);
+                        self.cache.borrow_mut().put(workspace, count, asked_at);
                         return Ok(());
                     }
                     Some(limit_messages::GrantAnswer::Empty(ms)) => {
@@ -190,7 +192,7 @@
     /// Tokens to ask for, with those for the requests that wait.
     fn wanted(&self, workspace: &ids::WorkspaceId, flight: &AskFlight) -> u32 {
         let waiting = flight.waiting.get() + 1;
-        self.stock.borrow_mut().wanted(workspace, waiting)
+        self.cache.borrow_mut().wanted(workspace, waiting)
     }
 }
 
--- a/src/settings/common.rs
+++ b/src/settings/common.rs
@@ -78,7 +78,7 @@
     }
 
     /// Time without renewal after which an instance is taken for gone.
-    pub fn lapse(&self) -> time::Duration {
+    pub fn lease_timeout(&self) -> time::Duration {
         self.heartbeat() * self.lapse_heartbeats
     }
 
--- a/src/standin/engine_model.rs
+++ b/src/standin/engine_model.rs
@@ -147,13 +147,13 @@
     fn store_block(&mut self, block: u64) {
         if let Some((evicted, ())) = self.cache.push(block, ()) {
             if evicted != block {
-                self.note_event(evicted, false);
+                self.record_event(evicted, false);
             }
         }
-        self.note_event(block, true);
+        self.record_event(block, true);
     }
 
-    fn note_event(&mut self, block: u64, stored: bool) {
+    fn record_event(&mut self, block: u64, stored: bool) {
         self.next_event += 1;
         let number = self.next_event;
         self.events.push_back(CacheEvent {
--- a/tests/crash_ledger.rs
+++ b/tests/crash_ledger.rs
@@ -5,7 +5,7 @@
 use jayhollow::{
     clock,
     decisions::crash_ledger::{
-        CrashLedger, CrashMark, CrashNews, CrashOutcome, CrashVerdict, CrashedRun, MAX_CRASHES,
+        CrashLedger, CrashMark, CrashOutcome, CrashUpdate, CrashVerdict, CrashedRun, MAX_CRASHES,
         MAX_TRIALS,
     },
     ids,
@@ -44,7 +44,7 @@
         endpoint: endpoint(number),
         begun: at(second - 1),
     };
-    ledger.note_crash(&run, at(second))
+    ledger.record_crash(&run, at(second))
 }
 
 /// A ledger in which a request crashed so many endpoints, one a second from second 1 on.
@@ -80,7 +80,7 @@
         begun: at(0),
     };
     for second in 2..6 {
-        let outcome = ledger.note_crash(&run, at(second));
+        let outcome = ledger.record_crash(&run, at(second));
         assert_eq!(outcome, CrashOutcome::Known);
     }
     assert!(!is_held(&ledger, "x", 6));
@@ -95,8 +95,8 @@
     // Another process saw the same second crash.
     let mut peer = crashed("x", 1);
     assert_eq!(crash(&mut peer, "x", 1, 4), CrashOutcome::Counted(2));
-    for news in peer.copy(at(5)) {
-        assert!(!ledger.merge(news, at(5)), "it is the same");
+    for update in peer.copy(at(5)) {
+        assert!(!ledger.merge(update, at(5)), "it is the same");
     }
     assert_eq!(crash(&mut ledger, "x", 1, 9), CrashOutcome::Counted(3));
     assert!(is_held(&ledger, "x", 9));
@@ -117,13 +117,13 @@
     for round in 1..9 {
         let now = clock::MonotonicTime(1_010_000 + round * 50_000);
         for name in ["x", "y"] {
-            let outcome = ledger.note_crash(&sent(name, round * 50_000), now);
+            let outcome = ledger.record_crash(&sent(name, round * 50_000), now);
             assert_eq!(outcome, CrashOutcome::Gone);
         }
     }
     assert!(!is_held(&ledger, "x", 2));
     // What was at work there when it ended is blamed, however late it is looked at.
-    let outcome = ledger.note_crash(&sent("z", 0), at(2));
+    let outcome = ledger.record_crash(&sent("z", 0), at(2));
     assert_eq!(outcome, CrashOutcome::Counted(1));
 }
 
@@ -131,16 +131,16 @@
 fn a_request_that_is_served_is_cleared_for_all() {
     let mut ledger = crashed("x", 3);
     let behind = ledger.copy(at(3));
-    assert!(ledger.note_served(digest("x"), at(4)));
+    assert!(ledger.record_served(digest("x"), at(4)));
     assert!(!is_held(&ledger, "x", 4));
     let mut peer = crashed("x", 3);
-    for news in ledger.copy(at(4)) {
-        assert!(peer.merge(news, at(4)));
+    for update in ledger.copy(at(4)) {
+        assert!(peer.merge(update, at(4)));
     }
     assert!(!is_held(&peer, "x", 4));
     // A process that has not heard of it does not bring the crashes back.
-    for news in behind {
-        assert!(!ledger.merge(news, at(5)));
+    for update in behind {
+        assert!(!ledger.merge(update, at(5)));
     }
     assert!(!is_held(&ledger, "x", 5));
 }
@@ -150,7 +150,7 @@
 #[test]
 fn a_request_that_is_served_often_is_not_blamed_for_endpoints_lost_together() {
     let mut ledger = CrashLedger::default();
-    ledger.note_served(digest("x"), at(1));
+    ledger.record_served(digest("x"), at(1));
     for number in 1..9 {
         assert_eq!(crash(&mut ledger, "x", number, 5), CrashOutcome::Excused);
     }
@@ -184,7 +184,7 @@
         settle(&ledger, at(2)).is_zero(),
         "it is refused at once from then on"
     );
-    ledger.note_served(digest("r"), at(1));
+    ledger.record_served(digest("r"), at(1));
     assert!(settle(&ledger, at(1)).is_zero());
 }
 
@@ -196,20 +196,20 @@
     let mut started = crashed("x", 3);
     assert!(is_held(&started, "x", 3));
     let mut other = CrashLedger::default();
-    other.note_served(digest("x"), at(2));
-    for news in started.copy(at(3)) {
-        assert!(other.merge(news, at(3)));
+    other.record_served(digest("x"), at(2));
+    for update in started.copy(at(3)) {
+        assert!(other.merge(update, at(3)));
     }
     assert!(other.vouch(digest("x"), at(3)));
     assert!(!is_held(&other, "x", 3));
-    for news in other.copy(at(3)) {
-        assert!(started.merge(news, at(3)));
+    for update in other.copy(at(3)) {
+        assert!(started.merge(update, at(3)));
     }
     assert!(!is_held(&started, "x", 3), "the word comes back");
     // Who saw nothing of it, or long ago, vouches for nothing.
     assert!(!CrashLedger::default().vouch(digest("x"), at(3)));
     let mut late = crashed("x", 3);
-    late.note_served(digest("y"), at(3));
+    late.record_served(digest("y"), at(3));
     assert!(!late.vouch(digest("x"), at(3)));
 }
 
@@ -244,7 +244,7 @@
     };
     let after = 3 + left.as_secs();
     assert_eq!(ledger.admit(digest("x"), at(after)), CrashVerdict::Trial);
-    ledger.note_served(digest("x"), at(after + 1));
+    ledger.record_served(digest("x"), at(after + 1));
     assert_eq!(
         ledger.verdict(digest("x"), at(after + 1)),
         CrashVerdict::Free
@@ -256,18 +256,18 @@
 #[test]
 fn what_is_forgotten_does_not_go_round() {
     let (mut early, mut late) = (crashed("x", 1), CrashLedger::default());
-    for news in early.copy(at(1)) {
+    for update in early.copy(at(1)) {
         // The way took a second, which its age does not count.
-        late.merge(news, at(2));
+        late.merge(update, at(2));
     }
     for second in (1..120 * MINUTE).step_by(1) {
         early.expire(at(second));
         late.expire(at(second));
-        for news in late.copy(at(second)) {
-            early.merge(news, at(second + 1));
+        for update in late.copy(at(second)) {
+            early.merge(update, at(second + 1));
         }
-        for news in early.copy(at(second)) {
-            late.merge(news, at(second + 1));
+        for update in early.copy(at(second)) {
+            late.merge(update, at(second + 1));
         }
     }
     assert!(early.is_empty() && late.is_empty());
@@ -282,8 +282,8 @@
     assert!(ledger.len() <= 1024);
     assert!(is_held(&ledger, "x", 11));
     let mut peer = CrashLedger::default();
-    for news in ledger.copy(at(5010)) {
-        peer.merge(news, at(5010));
+    for update in ledger.copy(at(5010)) {
+        peer.merge(update, at(5010));
     }
     assert_eq!(peer.number(), ledger.number());
 }
@@ -302,7 +302,7 @@
 }
 
 /// What a process may know of a request: a part of its crashes, endpoint n in second n.
-fn news() -> impl Strategy<Value = CrashNews> {
+fn update() -> impl Strategy<Value = CrashUpdate> {
     let numbers = proptest::collection::btree_set(0..6_u64, 1..5);
     (0..3_usize, numbers, any::<bool>()).prop_map(|(name, numbers, clears)| {
         let last = numbers.last().copied().expect("there is one");
@@ -311,7 +311,7 @@
             true => crashes.clone(),
             false => collections::BTreeSet::new(),
         };
-        CrashNews {
+        CrashUpdate {
             digest: digest(["x", "y", "z"][name]),
             crashes,
             cleared,
@@ -323,13 +323,13 @@
 proptest! {
     /// Whoever is told what, in whatever order and however often: all come to know the same.
     #[test]
-    fn the_order_of_news_does_not_matter(all in proptest::collection::vec(news(), 1..12)) {
+    fn the_order_of_news_does_not_matter(all in proptest::collection::vec(update(), 1..12)) {
         let [mut one, mut other] = [CrashLedger::default(), CrashLedger::default()];
-        for news in &all {
-            one.merge(news.clone(), at(200));
+        for update in &all {
+            one.merge(update.clone(), at(200));
         }
-        for news in all.iter().rev().chain(&all) {
-            other.merge(news.clone(), at(200));
+        for update in all.iter().rev().chain(&all) {
+            other.merge(update.clone(), at(200));
         }
         prop_assert_eq!(one.number(), other.number());
         for name in ["x", "y", "z"] {
@@ -337,7 +337,7 @@
             prop_assert_eq!(verdicts[0], verdicts[1]);
         }
         let all_again = one.copy(at(200));
-        let is_new = all_again.into_iter().any(|news| other.merge(news, at(200)));
+        let is_new = all_again.into_iter().any(|update| other.merge(update, at(200)));
         prop_assert!(!is_new, "nothing is new any more");
     }
 }
--- a/tests/endpoint_health.rs
+++ b/tests/endpoint_health.rs
@@ -30,9 +30,9 @@
         if board.is_ejected(&id, now) {
             out += 1;
         } else if rng.random_bool(failing) {
-            board.note_failure(&id, now);
+            board.record_failure(&id, now);
         } else {
-            board.note_success(&id);
+            board.record_success(&id);
         }
     }
     f64::from(out) / LOOKS as f64
@@ -42,14 +42,14 @@
 fn three_failures_in_a_row_eject_and_one_more_after_the_return() {
     let mut board = HealthTracker::default();
     let (id, now) = (endpoint(), clock::MonotonicTime(1));
-    board.note_failure(&id, now);
-    board.note_failure(&id, now);
+    board.record_failure(&id, now);
+    board.record_failure(&id, now);
     assert!(!board.is_ejected(&id, now));
-    board.note_failure(&id, now);
+    board.record_failure(&id, now);
     assert!(board.is_ejected(&id, now));
     let later = now + time::Duration::from_secs(3);
     assert!(!board.is_ejected(&id, later), "it is tried again");
-    board.note_failure(&id, later);
+    board.record_failure(&id, later);
     assert!(board.is_ejected(&id, later));
 }
 
@@ -58,7 +58,7 @@
     let mut board = HealthTracker::default();
     let (id, mut now) = (endpoint(), clock::MonotonicTime(1));
     for out_ms in [500, 1000, 2000, 4000] {
-        board.note_silence(&id, now);
+        board.record_silence(&id, now);
         let nearly = now + time::Duration::from_millis(out_ms - 1);
         assert!(board.is_ejected(&id, nearly), "out for {out_ms} ms");
         now = now + time::Duration::from_millis(out_ms);
@@ -92,10 +92,10 @@
         is_silent: true,
     };
     for _ in 0..20 {
-        board.note_report(&id, &report("g1"), now);
+        board.record_report(&id, &report("g1"), now);
     }
     assert!(!board.is_ejected(&id, now), "its own path may be cut");
-    board.note_report(&id, &report("g2"), now);
+    board.record_report(&id, &report("g2"), now);
     assert!(board.is_ejected(&id, now));
 }
 
@@ -108,9 +108,9 @@
             reporter: instance(reporter),
             is_silent: false,
         };
-        board.note_report(&id, &report, now);
+        board.record_report(&id, &report, now);
         for _ in 0..3 {
-            board.note_success(&id);
+            board.record_success(&id);
         }
     }
     assert!(!board.is_ejected(&id, now));
--- a/tests/endpoint_runs.rs
+++ b/tests/endpoint_runs.rs
@@ -79,7 +79,7 @@
     let both = [entry("a", 1, Some(5)), entry("b", 1, Some(9))];
     let both = both.map(ListChange::Listed).to_vec();
     directory.apply(both, from_store(0));
-    assert!(directory.note_misnamed(&id("b"), Some(ids::StartTime(9)), at(0)));
+    assert!(directory.record_misnamed(&id("b"), Some(ids::StartTime(9)), at(0)));
     assert_eq!(names(&directory), ["a:1"]);
     assert!(directory.retry_misnamed(at(1000)));
     assert_eq!(names(&directory), ["b:1"]);
@@ -142,15 +142,15 @@
     directory.apply(listed(entry("a", 1, Some(5))), from_store(0));
     let earlier = Some(ids::StartTime(4));
     assert!(
-        !directory.note_misnamed(&id("a"), earlier, at(0)),
+        !directory.record_misnamed(&id("a"), earlier, at(0)),
         "of another start"
     );
-    assert!(directory.note_misnamed(&id("a"), Some(ids::StartTime(5)), at(0)));
+    assert!(directory.record_misnamed(&id("a"), Some(ids::StartTime(5)), at(0)));
     assert!(names(&directory).is_empty());
     assert!(!directory.retry_misnamed(at(900)));
     assert!(directory.retry_misnamed(at(1000)));
     assert_eq!(names(&directory), ["a:1"]);
-    assert!(directory.note_misnamed(&id("a"), Some(ids::StartTime(5)), at(1100)));
+    assert!(directory.record_misnamed(&id("a"), Some(ids::StartTime(5)), at(1100)));
     directory.apply(listed(entry("a", 1, Some(5))), from_store(1200));
     assert_eq!(names(&directory), ["a:1"], "its writer is there");
 }
@@ -166,7 +166,7 @@
     let mut now = 0;
     let mut spans = Vec::new();
     for _ in 0..6 {
-        assert!(marks.note(&id("a"), at(now), &mut rng));
+        assert!(marks.record(&id("a"), at(now), &mut rng));
         let begun = now;
         while !marks.expire(at(now)) {
             now += 100;
@@ -175,7 +175,7 @@
     }
     assert_eq!(spans, [1, 2, 4, 8, 8, 8]);
     marks.expire(at(now + 9000));
-    assert!(marks.note(&id("a"), at(now + 9000), &mut rng));
+    assert!(marks.record(&id("a"), at(now + 9000), &mut rng));
     assert!(marks.expire(at(now + 10_000)), "it is new again");
 }
 
@@ -186,8 +186,8 @@
     board
 }
 
-fn ask(number: u64) -> peers::PlaceAsk {
-    peers::PlaceAsk {
+fn ask(number: u64) -> peers::OnlineSlotRequest {
+    peers::OnlineSlotRequest {
         number,
         holder: ids::InstanceRun {
             instance: "g".parse().expect("a name"),
@@ -209,13 +209,13 @@
         board.acquire(&ask(number), &none, now).is_some()
     };
     assert!(granted(&mut board, 1, at(0)));
-    board.note_refused(&id("a"), at(0));
+    board.record_refused(&id("a"), at(0));
     assert!(!granted(&mut board, 2, at(1)));
     assert!(board.begin_batch(&service(), &none, at(1)).is_none());
-    assert_eq!(board.online_room(&service()), 0, "others are told so");
+    assert_eq!(board.free_online_slots(&service()), 0, "others are told so");
     assert!(board.reopen(at(100)));
     assert!(granted(&mut board, 3, at(100)));
-    board.note_refused(&id("a"), at(100));
+    board.record_refused(&id("a"), at(100));
     assert!(!granted(&mut board, 4, at(101)));
     let number = 1;
     board.release_served(number, at(101));
@@ -249,8 +249,8 @@
     }
     assert!(board.acquire(&ask(2), &none, at(0)).is_none());
     assert!(board.begin_batch(&service(), &none, at(0)).is_none());
-    assert!(directory.note_named(&id("b")));
-    assert!(directory.note_misnamed(&id("a"), None, at(0)));
+    assert!(directory.record_named(&id("b")));
+    assert!(directory.record_misnamed(&id("a"), None, at(0)));
     board.set_doubtful(directory.doubtful().clone());
     assert!(board.acquire(&ask(3), &none, at(0)).is_some());
     assert!(directory.retry_misnamed(at(1000)));
@@ -274,7 +274,7 @@
     assert!(board.acquire(&ask(5), &none, at(0)).is_some());
     // What is given back of the run before adds no room.
     board.release(0);
-    assert_eq!(board.online_room(&service()), 3);
+    assert_eq!(board.free_online_slots(&service()), 3);
 }
 
 #[test]
@@ -288,7 +288,7 @@
     let mut now = 0;
     let mut longest = 0;
     for _ in 0..8 {
-        refusals.note(&id("a"), at(now), &mut rng);
+        refusals.record(&id("a"), at(now), &mut rng);
         let begun = now;
         while !refusals.expire(at(now)) {
             now += 1;
--- a/tests/explain.rs
+++ b/tests/explain.rs
@@ -106,7 +106,7 @@
     &[(13, "event=job_taken job=j due_ms=1777890018250"),
       (40, "event=results_committed job=j results=2")],
     Some("late: it waited or ran long"))]
-#[case::places(
+#[case::slots(
     &[(13, "event=item_run job=j end=\"Preempted\""),
       (40, "event=results_committed job=j results=2")],
     Some("late: its items lost places to online requests"))]
--- a/tests/item_order.rs
+++ b/tests/item_order.rs
@@ -23,7 +23,7 @@
 fn the_rest_of_a_span_is_told_from_the_mean_and_never_nothing() {
     let mut estimate = DurationEstimate::default();
     assert_eq!(estimate.remaining_ms(500), 0, "nothing is known yet");
-    estimate.note(5_000);
+    estimate.record(5_000);
     assert_eq!(estimate.remaining_ms(2_000), 1_500, "half of what is left");
     assert_eq!(estimate.remaining_ms(9_000), 250);
 }
--- a/tests/job_checkpoints.rs
+++ b/tests/job_checkpoints.rs
@@ -8,7 +8,7 @@
     job_records, open_job, wire,
 };
 
-fn news(chain: u64, skipped: usize, events: usize) -> JobCheckpoint {
+fn update(chain: u64, skipped: usize, events: usize) -> JobCheckpoint {
     let data = |n: usize| format!("chain {chain} event {}", skipped + n + 1);
     JobCheckpoint {
         job: "job-1".parse().expect("a name"),
@@ -40,7 +40,7 @@
     #[case] last_is_kept: bool,
 ) {
     let board = CheckpointBoard::default();
-    let kept = told.iter().map(|(c, s, e)| board.take(news(*c, *s, *e)));
+    let kept = told.iter().map(|(c, s, e)| board.take(update(*c, *s, *e)));
     assert_eq!(kept.last(), Some(last_is_kept));
 }
 
@@ -48,7 +48,7 @@
 fn what_is_kept_is_bounded() {
     let board = CheckpointBoard::default();
     for n in 0..40 {
-        let mut job = news(1, 0, 1);
+        let mut job = update(1, 0, 1);
         job.job = format!("job-{n}").parse().expect("a name");
         job.items[0].events = vec!["x".repeat(1 << 20)];
         board.take(job);
@@ -80,11 +80,11 @@
     let mut job = shared.borrow_mut();
     // A run goes on from the disk, while another process goes on from the same
     // checkpoint and is further: its chain has the same name.
-    let from_disk = news(7, 0, 10).items.remove(0);
+    let from_disk = update(7, 0, 10).items.remove(0);
     assert!(job.go_on_from(from_disk));
     job.items[0].phase = open_job::ItemPhase::Running;
     let first = job.items[0].chain();
-    let mut further = news(7, 0, 30).items.remove(0);
+    let mut further = update(7, 0, 30).items.remove(0);
     further.chain = first;
     assert!(job.go_on_from(further));
     // The next run begins before the first one has noticed.
