--- a/tests/limit_model.rs
+++ b/tests/limit_model.rs
@@ -97,7 +97,7 @@
 
 fn fresh_gateway(seed: u64) -> GatewayState {
     GatewayState {
-        run: ids::RunNumber::draw(),
+        run: ids::RunNumber::random(),
         shares: ShareClock::default(),
         rng: rngs::SmallRng::seed_from_u64(seed),
     }
--- a/tests/members.rs
+++ b/tests/members.rs
@@ -26,36 +26,36 @@
     };
     assert_eq!(names(&table, now), ["g0"], "nobody was heard yet");
     for id in ["d1", "d2"] {
-        table.note_heard(&id.parse().expect("a name"), Default::default(), now);
+        table.record_heard(&id.parse().expect("a name"), Default::default(), now);
     }
     assert_eq!(names(&table, now), ["d1", "d2"]);
     let leaving = members::PeerHeartbeat {
         leaving: true,
         ..Default::default()
     };
-    table.note_heard(&"d1".parse().expect("a name"), leaving, now);
+    table.record_heard(&"d1".parse().expect("a name"), leaving, now);
     assert_eq!(names(&table, now), ["d2"], "one that leaves owns nothing");
     now = now + members::PEER_SILENCE;
     assert_eq!(names(&table, now), ["g0"]);
     table.take(record("g1", members::MemberRole::Gateway));
     let g1 = "g1".parse().expect("a name");
-    table.note_heard(&g1, Default::default(), now);
+    table.record_heard(&g1, Default::default(), now);
     assert_eq!(
         names(&table, now),
         ["g0", "g1"],
         "no gateway hears a dispatcher; all name the same one first"
     );
-    let hears = members::PeerHeartbeat {
-        hears: vec![members::MemberMark::of(&"d1".parse().expect("a name"))],
+    let receives_from = members::PeerHeartbeat {
+        receives_from: vec![members::MemberMark::of(&"d1".parse().expect("a name"))],
         ..Default::default()
     };
-    table.note_heard(&g1, hears, now);
+    table.record_heard(&g1, receives_from, now);
     assert_eq!(
         names(&table, now),
         ["d1"],
         "the path to it is cut, others hear it"
     );
-    assert!(!table.hears(&"d1".parse().expect("a name"), now));
+    assert!(!table.receives_from(&"d1".parse().expect("a name"), now));
     assert_eq!(table.relays(now).len(), 1);
 }
 
@@ -74,12 +74,12 @@
         instance: id.clone(),
         run: number.parse().expect("a number"),
     };
-    let mut hear = |number| table.note_heard(&id, heard(number), now);
+    let mut hear = |number| table.record_heard(&id, heard(number), now);
     assert_eq!(hear("1"), members::HeardRun::First);
     assert_eq!(hear("1"), members::HeardRun::Same);
     assert!(!table.has_ended(&of("1"), now));
     assert_eq!(
-        table.note_heard(&id, heard("2"), now),
+        table.record_heard(&id, heard("2"), now),
         members::HeardRun::Next
     );
     assert!(table.has_ended(&of("1"), now));
--- a/tests/owner_order.rs
+++ b/tests/owner_order.rs
@@ -3,10 +3,10 @@
 use jayhollow::decisions::owner_order::{draw_order, OwnerCapacity};
 use rand::{rngs, SeedableRng as _};
 
-fn owner(id: &str, room: u32, is_same_domain: bool) -> OwnerCapacity {
+fn owner(id: &str, free_slots: u32, is_same_domain: bool) -> OwnerCapacity {
     OwnerCapacity {
         id: id.parse().expect("a name"),
-        room,
+        free_slots,
         is_same_domain,
     }
 }
--- a/tests/queue_limit.rs
+++ b/tests/queue_limit.rs
@@ -14,8 +14,8 @@
 fn queue(slots: u32, hold: u64, first: u64, objective: u64) -> u32 {
     let (mut holds, mut firsts) = (HoldTimeEstimate::default(), FirstEstimate::default());
     for _ in 0..200 {
-        holds.note(millis(hold));
-        firsts.note(millis(first));
+        holds.record(millis(hold));
+        firsts.record(millis(first));
     }
     holds.queue(slots, firsts.wait(millis(objective)))
 }
--- a/tests/rate_limits.rs
+++ b/tests/rate_limits.rs
@@ -7,7 +7,7 @@
     bench::limit_fleet::{self, pooled, LimitPlan, LimitScenario},
     clock::MonotonicTime,
     decisions::{
-        authentication::{judge, KeyFreshness, KeyMatch, KeyVerdict},
+        authentication::{authenticate, KeyFreshness, KeyMatch, KeyVerdict},
         rate_limits::{
             rate_limit::{LimitTolerance, RateLimit},
             share_clock::{quota_servers_of, QuotaServerView, ShareClock, ShareTime, MAX_KEEPERS},
@@ -56,7 +56,7 @@
 
 fn play(plan: &LimitPlan) -> limit_fleet::LimitReport {
     let mut way = pooled::PooledShares::new(plan, &TOLERANCE);
-    limit_fleet::play(plan, &TOLERANCE, &mut way)
+    limit_fleet::simulate(plan, &TOLERANCE, &mut way)
 }
 
 #[rstest]
@@ -102,7 +102,7 @@
         Self {
             board,
             view: QuotaServerView::of(&quota_servers),
-            run: ids::RunNumber::draw(),
+            run: ids::RunNumber::random(),
             shares,
             quota_server,
         }
@@ -198,26 +198,26 @@
 
 #[test]
 fn drawn_tokens_expire_from_the_moment_they_were_asked_for() {
-    let mut stock = TokenCache::default();
+    let mut cache = TokenCache::default();
     let workspace = id("w");
     // The answer came long after the request: its gateway stood still meanwhile.
-    stock.put(&workspace, 5, at_ms(0));
-    assert!(!stock.spend(&workspace, at_ms(0) + GRANT_TTL));
-    stock.put(&workspace, 1, at_ms(1000));
-    stock.put(&workspace, 1, at_ms(900));
-    assert!(stock.spend(&workspace, at_ms(1001)));
-    assert!(stock.spend(&workspace, at_ms(1001)));
-    assert!(!stock.spend(&workspace, at_ms(1001)));
+    cache.put(&workspace, 5, at_ms(0));
+    assert!(!cache.spend(&workspace, at_ms(0) + GRANT_TTL));
+    cache.put(&workspace, 1, at_ms(1000));
+    cache.put(&workspace, 1, at_ms(900));
+    assert!(cache.spend(&workspace, at_ms(1001)));
+    assert!(cache.spend(&workspace, at_ms(1001)));
+    assert!(!cache.spend(&workspace, at_ms(1001)));
 }
 
 #[test]
 fn an_empty_pool_is_not_asked_for_each_request() {
-    let mut stock = TokenCache::default();
+    let mut cache = TokenCache::default();
     let workspace = id("w");
     let denial = Denial::Exceeded(time::Duration::from_secs(3));
-    stock.note_denial(&workspace, denial, at_ms(0));
-    assert_eq!(stock.denial(&workspace, at_ms(50)), Some(denial));
-    assert_eq!(stock.denial(&workspace, at_ms(150)), None);
+    cache.record_denial(&workspace, denial, at_ms(0));
+    assert_eq!(cache.denial(&workspace, at_ms(50)), Some(denial));
+    assert_eq!(cache.denial(&workspace, at_ms(150)), None);
 }
 
 #[test]
@@ -244,22 +244,22 @@
     KeyFreshness::Current,
     KeyVerdict::Unauthorized
 )]
-#[case::none_and_behind(KeyMatch::NoKey, false, KeyFreshness::Behind, KeyVerdict::Unauthorized)]
+#[case::none_and_behind(KeyMatch::NoKey, false, KeyFreshness::Stale, KeyVerdict::Unauthorized)]
 #[case::unknown(
     KeyMatch::Unknown,
     false,
     KeyFreshness::Current,
     KeyVerdict::Unauthorized
 )]
-#[case::not_known_yet(KeyMatch::Unknown, false, KeyFreshness::Behind, KeyVerdict::Undecided)]
+#[case::not_known_yet(KeyMatch::Unknown, false, KeyFreshness::Stale, KeyVerdict::Undecided)]
 #[case::known(
     KeyMatch::Known(1),
     false,
-    KeyFreshness::Behind,
+    KeyFreshness::Stale,
     KeyVerdict::Workspace(1)
 )]
 #[case::public(KeyMatch::NoKey, true, KeyFreshness::Current, KeyVerdict::Anonymous)]
-#[case::public_unknown(KeyMatch::Unknown, true, KeyFreshness::Behind, KeyVerdict::Anonymous)]
+#[case::public_unknown(KeyMatch::Unknown, true, KeyFreshness::Stale, KeyVerdict::Anonymous)]
 #[case::public_known(
     KeyMatch::Known(1),
     true,
@@ -272,7 +272,7 @@
     #[case] view: KeyFreshness,
     #[case] expected: KeyVerdict<u8>,
 ) {
-    assert_eq!(judge(found, is_public, view), expected);
+    assert_eq!(authenticate(found, is_public, view), expected);
 }
 
 proptest! {
--- a/tests/serving_views.rs
+++ b/tests/serving_views.rs
@@ -365,13 +365,13 @@
         .map(|n| rc::Rc::new(entry(&format!("e{n}"), "z")))
         .collect();
     let now = clock::MonotonicTime(1);
-    loads.health.note_failure(&entries[0].id, now);
+    loads.health.record_failure(&entries[0].id, now);
     assert!(loads.shunned(entries.len(), |_| true, now).is_empty());
     for entry in &entries[..2] {
-        loads.health.note_silence(&entry.id, now);
+        loads.health.record_silence(&entry.id, now);
     }
     assert_eq!(loads.shunned(entries.len(), |_| true, now).len(), 2);
-    loads.health.note_silence(&entries[2].id, now);
+    loads.health.record_silence(&entries[2].id, now);
     assert!(
         loads.shunned(entries.len(), |_| true, now).is_empty(),
         "too many: the fault is elsewhere"
--- a/tests/places.rs
+++ b/tests/slots.rs
@@ -6,7 +6,7 @@
     clock, ids,
     serving::{
         directory, peers, permits,
-        places::{self, SlotWord},
+        slots::{self, SlotReply},
     },
 };
 
@@ -33,8 +33,8 @@
     "s".parse().expect("a name")
 }
 
-fn ask_of(holder: ids::InstanceRun, number: u64) -> peers::PlaceAsk {
-    peers::PlaceAsk {
+fn ask_of(holder: ids::InstanceRun, number: u64) -> peers::OnlineSlotRequest {
+    peers::OnlineSlotRequest {
         number,
         holder,
         domain: "z".parse().expect("a name"),
@@ -80,14 +80,14 @@
     let mut preempted = 0;
     let mut acquire = |numbers: std::ops::Range<u64>, may_queue| {
         let granted = numbers.filter(|number| {
-            let ask = peers::PlaceAsk {
+            let ask = peers::OnlineSlotRequest {
                 may_queue,
                 wait: time::Duration::from_millis(200),
                 ..ask_of(holder.clone(), *number)
             };
-            let place = board.acquire(&ask, &none, now);
-            preempted += place.as_ref().map_or(0, |p| p.preempted.len());
-            place.is_some()
+            let slot = board.acquire(&ask, &none, now);
+            preempted += slot.as_ref().map_or(0, |p| p.preempted.len());
+            slot.is_some()
         });
         granted.count()
     };
@@ -100,7 +100,7 @@
     assert_eq!(preempted, 6, "all batch streams gave way");
     assert_eq!(board.totals(), (10, 0));
     assert_eq!(
-        board.queue_room(&service(), time::Duration::from_millis(200)),
+        board.free_queue_slots(&service(), time::Duration::from_millis(200)),
         0
     );
     board.release_ended(|run| *run == holder);
@@ -120,8 +120,8 @@
     assert_eq!(board.totals(), (0, 0));
 }
 
-fn slots_of(holder: ids::InstanceRun, count: usize) -> peers::SlotAsk {
-    peers::SlotAsk {
+fn slots_of(holder: ids::InstanceRun, count: usize) -> peers::BatchSlotRequest {
+    peers::BatchSlotRequest {
         number: 77,
         holder,
         service: service(),
@@ -166,7 +166,7 @@
         ask.tried = vec!["b".parse().expect("a name")];
         assert!(board.acquire(&ask, &none, now).is_some());
     }
-    board.note_refused(&"b".parse().expect("a name"), now);
+    board.record_refused(&"b".parse().expect("a name"), now);
     let later = now + time::Duration::from_millis(40);
     let mut ask = ask_of(run("h"), 9);
     ask.tried = vec!["a".parse().expect("a name")];
@@ -207,7 +207,7 @@
     let mut board = board(&[entry("a", "z")]);
     let now = clock::MonotonicTime(1);
     let none = Default::default();
-    let ask = |number| peers::SlotAsk {
+    let ask = |number| peers::BatchSlotRequest {
         number,
         holder: run("d"),
         service: service(),
@@ -232,13 +232,13 @@
 /// "none" counted as "full". Seeds 7200 and 7704 had the same refusal.
 #[rstest::rstest]
 #[case::nobody_was_asked(&[], false)]
-#[case::no_owner(&[SlotWord::NotOwner, SlotWord::NotOwner], false)]
-#[case::no_answer(&[SlotWord::Silent], false)]
-#[case::all_full(&[SlotWord::Full(0), SlotWord::Full(3)], true)]
-#[case::who_owns_is_full(&[SlotWord::NotOwner, SlotWord::Full(0)], true)]
-#[case::one_may_have_room(&[SlotWord::Full(0), SlotWord::Silent], false)]
-fn a_service_is_full_if_all_say_so_who_own_it(#[case] words: &[SlotWord], #[case] full: bool) {
-    assert_eq!(places::all_full(words), full);
+#[case::no_owner(&[SlotReply::NotOwner, SlotReply::NotOwner], false)]
+#[case::no_answer(&[SlotReply::Silent], false)]
+#[case::all_full(&[SlotReply::Full(0), SlotReply::Full(3)], true)]
+#[case::who_owns_is_full(&[SlotReply::NotOwner, SlotReply::Full(0)], true)]
+#[case::one_may_have_room(&[SlotReply::Full(0), SlotReply::Silent], false)]
+fn a_service_is_full_if_all_say_so_who_own_it(#[case] words: &[SlotReply], #[case] full: bool) {
+    assert_eq!(slots::all_full(words), full);
 }
 
 #[test]
--- a/tests/state_copy.rs
+++ b/tests/state_copy.rs
@@ -153,9 +153,9 @@
         .part(StatePartRequest::First, &newest)
         .expect("a part");
     // Some of these still inflate to a state, but to another one.
-    let damaged = (0..part.bytes.len()).map(|place| {
+    let damaged = (0..part.bytes.len()).map(|slot| {
         let mut damaged = part.clone();
-        damaged.bytes[place] ^= 1;
+        damaged.bytes[slot] ^= 1;
         damaged
     });
     let mut huge = part.clone();
