--- a/src/bench/harm.rs
+++ b/src/bench/harm.rs
@@ -148,7 +148,7 @@
 /// About a third of the places in use, and bursts of half of them.
 fn trace_shape(flags: &HarmFlags) -> load::TraceShape {
     load::TraceShape {
-        span: WARM_UP + time::Duration::from_secs(flags.seconds),
+        duration: WARM_UP + time::Duration::from_secs(flags.seconds),
         rate: flags.engines as f64 * 2.5,
         burst_every: time::Duration::from_secs(3),
         burst_size: flags.engines * ENGINE_SEQUENCES / 2,
@@ -189,9 +189,9 @@
     let trace = load::make_trace(&trace_shape(flags), flags.seed);
     let gateways: Vec<_> = fleet.gateways.iter().map(|g| g.address).collect();
     let engines = fleet.engines.clone();
-    let span = time::Duration::from_secs(flags.seconds);
+    let duration = time::Duration::from_secs(flags.seconds);
     let (online, made) = thread::scope(|scope| {
-        let counting = scope.spawn(|| count_made(&engines, span));
+        let counting = scope.spawn(|| count_made(&engines, duration));
         let online = load::run_trace(&trace, &gateways, LOAD_THREADS, WARM_UP);
         (online, counting.join())
     });
@@ -216,10 +216,10 @@
 }
 
 /// Tokens that the engines made in the counted part of a run.
-fn count_made(engines: &[std::net::SocketAddr], span: time::Duration) -> u64 {
+fn count_made(engines: &[std::net::SocketAddr], duration: time::Duration) -> u64 {
     thread::sleep(WARM_UP);
     let before = total_made(engines);
-    thread::sleep(span);
+    thread::sleep(duration);
     total_made(engines) - before
 }
 
@@ -228,9 +228,9 @@
         let client = http_client::new_client(0);
         let mut total = 0;
         for engine in engines {
-            let answer = client.get(format!("http://{engine}/load")).send().await;
-            let Ok(mut answer) = answer else { continue };
-            if let Ok(report) = answer.json::<standin::engine_terms::LoadReport>().await {
+            let response = client.get(format!("http://{engine}/load")).send().await;
+            let Ok(mut response) = response else { continue };
+            if let Ok(report) = response.json::<standin::engine_terms::LoadReport>().await {
                 total += report.made_tokens;
             }
         }
@@ -259,9 +259,9 @@
         });
         let _ = writeln!(lines, "{item}");
     }
-    let reach = fleet.reach(local_fleet::CALLER_KEY);
+    let profile = fleet.profile(local_fleet::CALLER_KEY);
     actix_rt::System::new().block_on(async {
-        let client = client::ApiClient::new(&reach);
+        let client = client::ApiClient::new(&profile);
         job_commands::submit_items(
             &client,
             lines.as_bytes(),
--- a/src/bench/limit_fleet/world.rs
+++ b/src/bench/limit_fleet/world.rs
@@ -32,7 +32,7 @@
 struct ProcessFault {
     process: usize,
     kind: FaultKind,
-    span: ops::Range<time::Duration>,
+    duration: ops::Range<time::Duration>,
 }
 
 /// The fleet as it is at a moment.
@@ -42,7 +42,7 @@
     quota_servers: usize,
     faults: Vec<ProcessFault>,
     /// Time of the last answered probe, by process and keeper.
-    heard: Vec<Vec<Option<time::Duration>>>,
+    last_seen: Vec<Vec<Option<time::Duration>>>,
     /// Phase of each process's probes.
     phases: Vec<time::Duration>,
 }
@@ -57,7 +57,7 @@
             gateways: plan.gateways,
             quota_servers: plan.dispatchers,
             faults: draw_faults(plan, rng),
-            heard: vec![vec![None; plan.dispatchers]; processes],
+            last_seen: vec![vec![None; plan.dispatchers]; processes],
             phases,
         }
     }
@@ -76,7 +76,7 @@
             }
             for quota_server in 0..self.quota_servers {
                 if self.reaches(process, quota_server) {
-                    self.heard[process][quota_server] = Some(at);
+                    self.last_seen[process][quota_server] = Some(at);
                 }
             }
         }
@@ -96,7 +96,9 @@
 
     fn has(&self, process: usize, kinds: &[FaultKind]) -> bool {
         let mut faults = self.faults.iter();
-        faults.any(|f| f.process == process && kinds.contains(&f.kind) && f.span.contains(&self.at))
+        faults.any(|f| {
+            f.process == process && kinds.contains(&f.kind) && f.duration.contains(&self.at)
+        })
     }
 
     fn is_up(&self, process: usize) -> bool {
@@ -132,13 +134,13 @@
 
     /// Whether a keeper answered a probe of a gateway within [`ASK_SILENCE`].
     pub fn receives_from(&self, gateway: usize, quota_server: usize) -> bool {
-        let heard = self.heard[gateway][quota_server];
+        let heard = self.last_seen[gateway][quota_server];
         heard.is_some_and(|at| self.at - at < ASK_SILENCE)
     }
 
     fn seen(&self, process: usize) -> Vec<usize> {
         let is_fresh = |at: &Option<time::Duration>| at.is_some_and(|at| self.at - at < SILENCE);
-        let heard = self.heard[process].iter().enumerate();
+        let heard = self.last_seen[process].iter().enumerate();
         heard
             .filter(|(_, at)| is_fresh(at))
             .map(|(k, _)| k)
@@ -159,16 +161,16 @@
         let before = self.at.saturating_sub(step);
         let mut faults = self.faults.iter();
         faults.any(|f| {
-            let ended = before < f.span.end && f.span.end <= self.at;
+            let ended = before < f.duration.end && f.duration.end <= self.at;
             f.process == process && f.kind == FaultKind::Down && ended
         })
     }
 
     /// When the last fault ends that has begun.
     pub(super) fn last_fault_end(&self) -> time::Duration {
-        let begun = self.faults.iter().filter(|f| f.span.start <= self.at);
+        let begun = self.faults.iter().filter(|f| f.duration.start <= self.at);
         begun
-            .map(|f| f.span.end.min(self.at))
+            .map(|f| f.duration.end.min(self.at))
             .max()
             .unwrap_or_default()
     }
@@ -177,26 +179,26 @@
 /// The faults of a plan.
 fn draw_faults(plan: &LimitPlan, rng: &mut rngs::SmallRng) -> Vec<ProcessFault> {
     let processes = plan.gateways + plan.dispatchers;
-    let span = |from: u64, for_ms: u64| {
+    let duration = |from: u64, for_ms: u64| {
         let from = LEAD + time::Duration::from_millis(from);
         from..from + time::Duration::from_millis(for_ms)
     };
-    let fault = |process, kind, span: ops::Range<time::Duration>| ProcessFault {
+    let fault = |process, kind, duration: ops::Range<time::Duration>| ProcessFault {
         process,
         kind,
-        span,
+        duration,
     };
     match plan.scenario {
         LimitScenario::Calm | LimitScenario::Hot => Vec::new(),
         LimitScenario::Cut => {
             let cut = (0..processes).filter(|p| p % 3 == 0);
-            cut.map(|p| fault(p, FaultKind::Cut, span(5_000, 12_000)))
+            cut.map(|p| fault(p, FaultKind::Cut, duration(5_000, 12_000)))
                 .collect()
         }
         LimitScenario::Killed => {
             let quota_servers = plan.gateways..processes;
             quota_servers
-                .map(|p| fault(p, FaultKind::Down, span(12_000, 1_000)))
+                .map(|p| fault(p, FaultKind::Down, duration(12_000, 1_000)))
                 .collect()
         }
         LimitScenario::Mixed => {
@@ -210,7 +212,10 @@
                 let share = [0.05, 0.35, 1.0][rng.random_range(0..3)];
                 let is_hit = |_: &usize| rng.random_bool(share);
                 let hit: Vec<_> = (0..processes).filter(is_hit).collect();
-                faults.extend(hit.into_iter().map(|p| fault(p, kind, span(from, for_ms))));
+                faults.extend(
+                    hit.into_iter()
+                        .map(|p| fault(p, kind, duration(from, for_ms))),
+                );
             }
             faults
         }
--- a/src/bench/load.rs
+++ b/src/bench/load.rs
@@ -27,7 +27,7 @@
 #[derive(Debug, Clone)]
 pub struct TraceShape {
     /// Length of the trace.
-    pub span: time::Duration,
+    pub duration: time::Duration,
     /// Requests a second between bursts.
     pub rate: f64,
     /// Time between bursts; no bursts if zero.
@@ -52,13 +52,13 @@
     let mut at = 0.0;
     loop {
         at += -(1.0 - rng.random::<f64>()).ln() / shape.rate.max(f64::MIN_POSITIVE);
-        if at >= shape.span.as_secs_f64() {
+        if at >= shape.duration.as_secs_f64() {
             break;
         }
         times.push(time::Duration::from_secs_f64(at));
     }
     let mut burst = shape.burst_every;
-    while !shape.burst_every.is_zero() && burst + BURST_SPAN < shape.span {
+    while !shape.burst_every.is_zero() && burst + BURST_SPAN < shape.duration {
         for _ in 0..shape.burst_size {
             times.push(burst + BURST_SPAN.mul_f64(rng.random::<f64>()));
         }
@@ -105,8 +105,8 @@
         self.between_tokens.merge(&other.between_tokens);
         self.whole += other.whole;
         self.tokens += other.tokens;
-        for (why, count) in &other.failed {
-            *self.failed.entry(why.clone()).or_default() += count;
+        for (reason, count) in &other.failed {
+            *self.failed.entry(reason.clone()).or_default() += count;
         }
     }
 
@@ -185,8 +185,8 @@
     let mut report = LoadReport::default();
     match read_stream(&client, gateway, &request, &mut report).await {
         Ok(()) => report.whole = 1,
-        Err(why) => {
-            report.failed.insert(why, 1);
+        Err(reason) => {
+            report.failed.insert(reason, 1);
         }
     }
     report
--- a/src/bench/overhead.rs
+++ b/src/bench/overhead.rs
@@ -117,8 +117,8 @@
         }
         let mut series = report::TimeSeries::default();
         for request in running {
-            if let Ok(Some(span)) = request.await {
-                series.add(span);
+            if let Ok(Some(duration)) = request.await {
+                series.add(duration);
             }
         }
         series
@@ -131,8 +131,8 @@
 /// Keeps so many requests under way; gives answers a second.
 fn measure_throughput(flags: &OverheadFlags, address: net::SocketAddr) -> f64 {
     let done = sync::atomic::AtomicU64::new(0);
-    let span = time::Duration::from_secs(flags.seconds);
-    let until = time::Instant::now() + span;
+    let duration = time::Duration::from_secs(flags.seconds);
+    let until = time::Instant::now() + duration;
     thread::scope(|scope| {
         for _ in 0..PRESS_THREADS {
             scope.spawn(|| {
@@ -150,7 +150,7 @@
             });
         }
     });
-    done.into_inner() as f64 / span.as_secs_f64()
+    done.into_inner() as f64 / duration.as_secs_f64()
 }
 
 /// A small request; says whether it was answered.
--- a/src/bench/overload.rs
+++ b/src/bench/overload.rs
@@ -76,7 +76,7 @@
     for part in LOADS {
         let fleet = local_fleet::LocalFleet::start(&fleet_spec(flags))?;
         let shape = load::TraceShape {
-            span: WARM_UP + time::Duration::from_secs(flags.seconds),
+            duration: WARM_UP + time::Duration::from_secs(flags.seconds),
             rate: capacity(flags) * part,
             burst_every: time::Duration::ZERO,
             burst_size: 0,
--- a/src/bench/report.rs
+++ b/src/bench/report.rs
@@ -18,8 +18,8 @@
 
 impl TimeSeries {
     /// Adds a time.
-    pub fn add(&mut self, span: time::Duration) {
-        let us = (span.as_micros() as u64).clamp(1, MAX_US);
+    pub fn add(&mut self, duration: time::Duration) {
+        let us = (duration.as_micros() as u64).clamp(1, MAX_US);
         self.0.saturating_record(us);
     }
 
--- a/src/bench/routing_bench.rs
+++ b/src/bench/routing_bench.rs
@@ -125,7 +125,7 @@
 /// None; the bench runs in virtual time.
 pub fn run(flags: &RoutingFlags) -> BenchResult<()> {
     let shape = load::TraceShape {
-        span: time::Duration::from_secs(flags.seconds),
+        duration: time::Duration::from_secs(flags.seconds),
         rate: flags.rate,
         burst_every: time::Duration::ZERO,
         burst_size: 0,
@@ -226,8 +226,8 @@
 
     fn begin_step(&mut self, now: time::Duration) {
         if self.step.is_none() && !self.model.is_idle() {
-            let (span, made) = self.model.step();
-            self.step = Some((now + span, made));
+            let (duration, made) = self.model.step();
+            self.step = Some((now + duration, made));
         }
     }
 }
--- a/src/bench/slopes.rs
+++ b/src/bench/slopes.rs
@@ -340,8 +340,8 @@
 fn object_stats(objects: net::SocketAddr) -> BenchResult<standin::objects::ObjectStats> {
     let stats = actix_rt::System::new().block_on(async {
         let client = http_client::new_client(0);
-        let mut answer = client.get(format!("http://{objects}/stats")).send().await?;
-        let stats = answer.json::<standin::objects::ObjectStats>().await?;
+        let mut response = client.get(format!("http://{objects}/stats")).send().await?;
+        let stats = response.json::<standin::objects::ObjectStats>().await?;
         Ok::<_, super::BenchError>(stats)
     })?;
     Ok(stats)
@@ -434,7 +434,7 @@
         let cpu_before = duty_seconds();
         let started = time::Instant::now();
         run_job(&fleet, items)?;
-        let span = started.elapsed().as_secs_f64();
+        let duration = started.elapsed().as_secs_f64();
         let cpu = duty_seconds() - cpu_before;
         let after = object_stats(fleet.objects)?;
         fleet.stop()?;
@@ -445,7 +445,7 @@
         let per_thousand = |calls: f64| report::two(calls / items as f64 * 1000.0);
         rows.push(vec![
             items.to_string(),
-            report::two(span),
+            report::two(duration),
             per_thousand(writes),
             per_thousand(reads),
             format!("{:.0}", cpu / items as f64 * 1e6),
@@ -480,9 +480,9 @@
         });
         let _ = writeln!(lines, "{item}");
     }
-    let reach = fleet.reach(local_fleet::CALLER_KEY);
+    let profile = fleet.profile(local_fleet::CALLER_KEY);
     let job = actix_rt::System::new().block_on(async {
-        let client = client::ApiClient::new(&reach);
+        let client = client::ApiClient::new(&profile);
         let job = job_commands::submit_items(
             &client,
             lines.as_bytes(),
--- a/src/bench/soak/chunk_world.rs
+++ b/src/bench/soak/chunk_world.rs
@@ -202,7 +202,7 @@
         let write = self.flying.remove(rng.random_range(0..self.flying.len()));
         if rng.random_bool(0.05) {
             self.tally.fault("write_lost");
-            return self.answer(&write, None);
+            return self.respond(&write, None);
         }
         if let Some((name, items)) = &write.segment {
             let segments = &mut self.stored[write.chunk].segments;
@@ -220,7 +220,7 @@
         if lost {
             self.tally.fault("answer_lost");
         }
-        self.answer(&write, (!lost).then_some(holds));
+        self.respond(&write, (!lost).then_some(holds));
         if rng.random_bool(0.02) {
             self.tally.fault("write_repeated");
             self.flying.push(write);
@@ -228,7 +228,7 @@
     }
 
     /// Gives an answer to the sender, if it still listens; `None` is a lost one.
-    fn answer(&mut self, write: &FlyingWrite, outcome: Option<bool>) {
+    fn respond(&mut self, write: &FlyingWrite, outcome: Option<bool>) {
         let number = write.dispatcher;
         let dispatcher = &mut self.dispatchers[number];
         if dispatcher.life != write.life || dispatcher.waits_for != write.serial {
--- a/src/cli/bundle_commands.rs
+++ b/src/cli/bundle_commands.rs
@@ -44,44 +44,49 @@
 ///
 /// # Errors
 /// The bundle has faults, or the gateway cannot be reached or refuses.
-pub async fn run(reach: &GatewayProfile, command: &BundleCommand) -> CommandResult<()> {
-    let client = client::ApiClient::new(reach);
+pub async fn run(profile: &GatewayProfile, command: &BundleCommand) -> CommandResult<()> {
+    let client = client::ApiClient::new(profile);
     match command {
-        BundleCommand::Check { file } => check(reach, file),
+        BundleCommand::Check { file } => check(profile, file),
         BundleCommand::Submit { file, parent } => {
             let body = read(file)?;
             let query = parent.map(|p| format!("?parent={p}")).unwrap_or_default();
             let path = format!("/operator/v1/bundles{query}");
-            let answer = client.post(&path, body).await?;
+            let response = client.post(&path, body).await?;
             let fields = ["generation", "parent", "step", "author"];
-            output::print(reach.output, &answer, &[answer["draft"].clone()], &fields);
+            output::print(
+                profile.output,
+                &response,
+                &[response["draft"].clone()],
+                &fields,
+            );
             Ok(())
         }
         BundleCommand::SignOff { generation } => {
             let path = format!("/operator/v1/bundles/sign-off?generation={generation}");
-            let answer = client.post(&path, Vec::new()).await?;
+            let response = client.post(&path, Vec::new()).await?;
             let fields = ["generation", "step", "author", "signer"];
             output::print(
-                reach.output,
-                &answer,
-                &[answer["accepted"].clone()],
+                profile.output,
+                &response,
+                &[response["accepted"].clone()],
                 &fields,
             );
             Ok(())
         }
         BundleCommand::Discard { generation } => {
             let path = format!("/operator/v1/bundles/discard?generation={generation}");
-            let answer = client.post(&path, Vec::new()).await?;
+            let response = client.post(&path, Vec::new()).await?;
             output::print(
-                reach.output,
-                &answer,
-                std::slice::from_ref(&answer),
+                profile.output,
+                &response,
+                std::slice::from_ref(&response),
                 &["discarded"],
             );
             Ok(())
         }
         BundleCommand::Status => {
-            let answer = client.get("/operator/v1/bundles").await?;
+            let response = client.get("/operator/v1/bundles").await?;
             let fields = [
                 "accepted.generation",
                 "accepted.step",
@@ -90,9 +95,9 @@
                 "lagging",
             ];
             output::print(
-                reach.output,
-                &answer,
-                std::slice::from_ref(&answer),
+                profile.output,
+                &response,
+                std::slice::from_ref(&response),
                 &fields,
             );
             Ok(())
@@ -108,7 +113,7 @@
     fs::read(file).map_err(|e| CommandError::failed(format!("{}: {e}", file.display())))
 }
 
-fn check(reach: &GatewayProfile, file: &path::Path) -> CommandResult<()> {
+fn check(profile: &GatewayProfile, file: &path::Path) -> CommandResult<()> {
     let text = read(file)?;
     let mut deserializer = serde_json::Deserializer::from_slice(&text);
     let document: bundle::BundleDocument = serde_path_to_error::deserialize(&mut deserializer)
@@ -122,7 +127,7 @@
         .map(|f| serde_json::json!({"path": f.path, "problem": f.problem}))
         .collect();
     let value = serde_json::json!({"valid": faults.is_empty(), "faults": rows});
-    output::print(reach.output, &value, &rows, &["path", "problem"]);
+    output::print(profile.output, &value, &rows, &["path", "problem"]);
     if faults.is_empty() {
         return Ok(());
     }
--- a/src/cli/client.rs
+++ b/src/cli/client.rs
@@ -36,12 +36,12 @@
 
 impl ApiClient {
     /// A client for the thread that it is made on.
-    pub fn new(reach: &GatewayProfile) -> Self {
+    pub fn new(profile: &GatewayProfile) -> Self {
         Self {
             client: http_client::new_client(0),
-            url: reach.url.trim_end_matches('/').to_owned(),
-            key: reach.key.clone(),
-            operator: reach.operator.clone(),
+            url: profile.url.trim_end_matches('/').to_owned(),
+            key: profile.key.clone(),
+            operator: profile.operator.clone(),
         }
     }
 
--- a/src/cli/instance_commands.rs
+++ b/src/cli/instance_commands.rs
@@ -18,22 +18,25 @@
 ///
 /// # Errors
 /// The gateway cannot be reached or refuses.
-pub async fn run(reach: &GatewayProfile, command: &InstanceCommand) -> CommandResult<()> {
-    let client = client::ApiClient::new(reach);
+pub async fn run(profile: &GatewayProfile, command: &InstanceCommand) -> CommandResult<()> {
+    let client = client::ApiClient::new(profile);
     match command {
         InstanceCommand::List => {
-            let answer = client.get("/operator/v1/instances").await?;
-            let rows = answer["instances"].as_array().cloned().unwrap_or_default();
+            let response = client.get("/operator/v1/instances").await?;
+            let rows = response["instances"]
+                .as_array()
+                .cloned()
+                .unwrap_or_default();
             let fields = ["id", "role", "domain", "generation", "leaving"];
-            output::print(reach.output, &answer, &rows, &fields);
+            output::print(profile.output, &response, &rows, &fields);
         }
         InstanceCommand::Stop { id } => {
             let path = format!("/operator/v1/instances/{id}/stop");
-            let answer = client.post(&path, Vec::new()).await?;
+            let response = client.post(&path, Vec::new()).await?;
             output::print(
-                reach.output,
-                &answer,
-                std::slice::from_ref(&answer),
+                profile.output,
+                &response,
+                std::slice::from_ref(&response),
                 &["stopping"],
             );
         }
--- a/src/cli/job_commands.rs
+++ b/src/cli/job_commands.rs
@@ -72,10 +72,10 @@
 ///
 /// # Errors
 /// A file cannot be read or written, or the gateway cannot be reached or refuses.
-pub async fn run(reach: &GatewayProfile, command: &JobCommand) -> CommandResult<()> {
-    let client = client::ApiClient::new(reach);
+pub async fn run(profile: &GatewayProfile, command: &JobCommand) -> CommandResult<()> {
+    let client = client::ApiClient::new(profile);
     let show = |job: &serde_json::Value| {
-        output::print(reach.output, job, std::slice::from_ref(job), &JOB_FIELDS);
+        output::print(profile.output, job, std::slice::from_ref(job), &JOB_FIELDS);
     };
     match command {
         JobCommand::Submit(flags) => {
@@ -87,9 +87,9 @@
         }
         JobCommand::Status { id } => show(&client.get(&format!("/v1/batches/{id}")).await?),
         JobCommand::List => {
-            let answer = client.get("/v1/batches").await?;
-            let rows = answer["data"].as_array().cloned().unwrap_or_default();
-            output::print(reach.output, &answer, &rows, &JOB_FIELDS);
+            let response = client.get("/v1/batches").await?;
+            let rows = response["data"].as_array().cloned().unwrap_or_default();
+            output::print(profile.output, &response, &rows, &JOB_FIELDS);
         }
         JobCommand::Results { id, errors, to } => {
             results(&client, id, *errors, to.as_deref()).await?;
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -20,7 +20,7 @@
 pub struct CommandLine {
     /// How to reach a gateway, and how to print.
     #[command(flatten)]
-    pub reach: ProfileFlags,
+    pub profile: ProfileFlags,
     /// What to do.
     #[command(subcommand)]
     pub command: Option<TopCommand>,
@@ -192,9 +192,9 @@
 }
 
 fn dispatch(line: CommandLine, run_dev: DevRunner) -> CommandResult<()> {
-    log_setup::start(line.reach.log_level);
-    if line.reach.check_config {
-        let settings = line.reach.settings()?;
+    log_setup::start(line.profile.log_level);
+    if line.profile.check_config {
+        let settings = line.profile.settings()?;
         println!(
             "{}",
             serde_json::to_string_pretty(&settings).unwrap_or_default()
@@ -205,19 +205,19 @@
         let mut command = CommandLine::command();
         return command.print_help().map_err(CommandError::failed);
     };
-    let reach = line.reach.resolve()?;
+    let profile = line.profile.resolve()?;
     match command {
         TopCommand::Dev(flags) => run_dev(&flags),
-        TopCommand::Explain(flags) => explain_command::run(&flags, reach.output),
+        TopCommand::Explain(flags) => explain_command::run(&flags, profile.output),
         TopCommand::Config(command) => config_commands::run(&command),
         TopCommand::Completions { shell } => {
             let mut command = CommandLine::command();
             clap_complete::generate(shell, &mut command, "jayhollow", &mut std::io::stdout());
             Ok(())
         }
-        TopCommand::Bundle(command) => in_runtime(bundle_commands::run(&reach, &command)),
-        TopCommand::Job(command) => in_runtime(job_commands::run(&reach, &command)),
-        TopCommand::Instance(command) => in_runtime(instance_commands::run(&reach, &command)),
+        TopCommand::Bundle(command) => in_runtime(bundle_commands::run(&profile, &command)),
+        TopCommand::Job(command) => in_runtime(job_commands::run(&profile, &command)),
+        TopCommand::Instance(command) => in_runtime(instance_commands::run(&profile, &command)),
     }
 }
 
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -13,16 +13,16 @@
     }
 
     /// The moment so long before; the origin if there was none.
-    pub fn before(self, span: time::Duration) -> Self {
-        Self(self.0.saturating_sub(span.as_micros() as u64))
+    pub fn before(self, duration: time::Duration) -> Self {
+        Self(self.0.saturating_sub(duration.as_micros() as u64))
     }
 }
 
 impl ops::Add<time::Duration> for MonotonicTime {
     type Output = Self;
 
-    fn add(self, span: time::Duration) -> Self {
-        Self(self.0.saturating_add(span.as_micros() as u64))
+    fn add(self, duration: time::Duration) -> Self {
+        Self(self.0.saturating_add(duration.as_micros() as u64))
     }
 }
 
@@ -66,8 +66,8 @@
 impl ops::Add<time::Duration> for BootInstant {
     type Output = Self;
 
-    fn add(self, span: time::Duration) -> Self {
-        Self(self.0.saturating_add(span))
+    fn add(self, duration: time::Duration) -> Self {
+        Self(self.0.saturating_add(duration))
     }
 }
 
--- a/src/decisions/crash_ledger.rs
+++ b/src/decisions/crash_ledger.rs
@@ -328,7 +328,7 @@
 
     /// Clears a request of what others blame it for, if this process saw it served lately;
     /// says whether it did.
-    pub fn vouch(&mut self, digest: ids::RequestDigest, now: clock::MonotonicTime) -> bool {
+    pub fn exonerate(&mut self, digest: ids::RequestDigest, now: clock::MonotonicTime) -> bool {
         let served_at = self.served.peek(&digest);
         let is_sound = served_at.is_some_and(|at| now.since(*at) < EXCUSED_FOR);
         let is_blamed = self.records.get(&digest).is_some_and(|r| r.count() > 0);
--- a/src/decisions/endpoint_backoff.rs
+++ b/src/decisions/endpoint_backoff.rs
@@ -21,7 +21,7 @@
 #[derive(Debug, Clone, Copy)]
 struct BackoffMark {
     until: clock::MonotonicTime,
-    pause: time::Duration,
+    delay: time::Duration,
     is_backed_off: bool,
 }
 
@@ -59,11 +59,11 @@
             last,
             spread,
         } = self.range;
-        let pause = known.map_or(first, |mark| (mark.pause * 2).min(last));
+        let delay = known.map_or(first, |mark| (mark.delay * 2).min(last));
         let share = rng.random_range(1.0 - spread..=1.0 + spread);
         let mark = BackoffMark {
-            until: now + pause.mul_f64(share),
-            pause,
+            until: now + delay.mul_f64(share),
+            delay,
             is_backed_off: true,
         };
         self.marks.insert(id.clone(), mark);
--- a/src/decisions/health.rs
+++ b/src/decisions/health.rs
@@ -57,8 +57,8 @@
         if self.failing < EJECT_SHARE {
             return;
         }
-        let span = FIRST_EJECTION * 2_u32.saturating_pow(self.ejections.min(8));
-        self.until = now + span.min(LAST_EJECTION);
+        let duration = FIRST_EJECTION * 2_u32.saturating_pow(self.ejections.min(8));
+        self.until = now + duration.min(LAST_EJECTION);
         self.ejections += 1;
         // One more failure after the return ejects again.
         self.failing = NEARLY_OUT;
--- a/src/decisions/item_order.rs
+++ b/src/decisions/item_order.rs
@@ -65,10 +65,10 @@
 impl DurationEstimate {
     /// Notes the time that an item held places from its begin to its end.
     pub fn record(&mut self, span_ms: u64) {
-        let span = span_ms as f64;
+        let duration = span_ms as f64;
         match self.mean_ms > 0.0 {
-            true => self.mean_ms += (span - self.mean_ms) * SPAN_WEIGHT,
-            false => self.mean_ms = span,
+            true => self.mean_ms += (duration - self.mean_ms) * SPAN_WEIGHT,
+            false => self.mean_ms = duration,
         }
     }
 
--- a/src/decisions/job_plan.rs
+++ b/src/decisions/job_plan.rs
@@ -125,7 +125,7 @@
     /// most must not be looked at: only where that may end the job, or give
     /// work to a dispatcher that lacks it.
     pub fn wants_look(&self, terms: LookTerms, now: clock::MonotonicTime) -> bool {
-        let rested = |pause| self.looked_at.is_none_or(|at| now.since(at) >= pause);
+        let rested = |delay| self.looked_at.is_none_or(|at| now.since(at) >= delay);
         if terms.cancelling {
             return terms.first && rested(FIRST_LOOK_PAUSE);
         }
@@ -139,12 +139,12 @@
         if terms.first && self.status.iter().all(settled) && rested(FIRST_LOOK_PAUSE) {
             return true;
         }
-        let pause = if terms.first {
+        let delay = if terms.first {
             FIRST_LOOK_PAUSE
         } else {
             OTHER_LOOK_PAUSE
         };
-        let starved = terms.starving && rested(pause);
+        let starved = terms.starving && rested(delay);
         // Whoever did the last chunk may have been lost before it ended the job.
         starved || (terms.first && rested(SPARE_LOOK_PAUSE))
     }
--- a/src/decisions/retry.rs
+++ b/src/decisions/retry.rs
@@ -97,6 +97,6 @@
 /// It doubles with each, up to the longest, and is spread upwards.
 pub fn backoff_delay(earlier: u32, range: &DelayRange, rng: &mut impl Rng) -> time::Duration {
     let factor = 2_u32.saturating_pow(earlier.min(16));
-    let pause = range.first.saturating_mul(factor).min(range.last);
-    pause.mul_f64(1.0 + rng.random_range(0.0..PAUSE_SPREAD))
+    let delay = range.first.saturating_mul(factor).min(range.last);
+    delay.mul_f64(1.0 + rng.random_range(0.0..PAUSE_SPREAD))
 }
--- a/src/decisions/step_model.rs
+++ b/src/decisions/step_model.rs
@@ -27,9 +27,9 @@
 
 impl StepModel {
     /// Takes a sample: a step of `span` with `sequences` in it.
-    pub fn observe(&mut self, sequences: u32, span: time::Duration) {
+    pub fn observe(&mut self, sequences: u32, duration: time::Duration) {
         let n = f64::from(sequences);
-        let y = span.as_secs_f64();
+        let y = duration.as_secs_f64();
         if self.weight > MIN_SAMPLES && y > OUTLIER_FACTOR * self.y / self.weight {
             return;
         }
--- a/src/dispatcher/batch_planner.rs
+++ b/src/dispatcher/batch_planner.rs
@@ -58,8 +58,8 @@
     fn is_time_to_plan(&self, now: clock::MonotonicTime) -> bool {
         let mut state = self.state.borrow_mut();
         let low = state.waiting_items() < self.context.settings.batch.low_water_items;
-        let pause = if low { LOW_PLAN_PAUSE } else { PLAN_PAUSE };
-        if now.since(state.planned_at) < pause {
+        let delay = if low { LOW_PLAN_PAUSE } else { PLAN_PAUSE };
+        if now.since(state.planned_at) < delay {
             return false;
         }
         state.planned_at = now;
--- a/src/dispatcher/batch_runner.rs
+++ b/src/dispatcher/batch_runner.rs
@@ -90,7 +90,7 @@
                 return;
             }
             let busy = !self.state.borrow().chunks.is_empty();
-            let pause = if busy { BUSY_PAUSE } else { IDLE_PAUSE };
+            let delay = if busy { BUSY_PAUSE } else { IDLE_PAUSE };
             tokio::select! {
                 stop = stops.recv() => match stop {
                     Some(stop) => self.begin_stop(stop),
@@ -99,7 +99,7 @@
                 () = self.wake.notified() => {}
                 () = self.context.board.changed.notified() => {}
                 _ = changes.changed() => self.take_snapshot(),
-                () = actix_rt::time::sleep(pause) => {}
+                () = actix_rt::time::sleep(delay) => {}
             }
         }
     }
@@ -294,8 +294,8 @@
             }
             _ if !may_repeat => {
                 let code = batch_item::ItemErrorCode::OutcomeUnknown;
-                let why = "it may have run and may not be repeated";
-                work.settle_failed(pending.index, code, why);
+                let reason = "it may have run and may not be repeated";
+                work.settle_failed(pending.index, code, reason);
                 "unknown"
             }
             item_run::ItemEnd::Preempted(text) => {
@@ -303,12 +303,12 @@
                 work.put_back(pending);
                 "preempted"
             }
-            item_run::ItemEnd::Failed(why, text) => {
+            item_run::ItemEnd::Failed(reason, text) => {
                 pending.attempts += 1;
                 pending.text = text;
                 if pending.attempts >= max_attempts && !protection::is_disabled("attempts") {
                     let code = batch_item::ItemErrorCode::EndpointFailed;
-                    work.settle_failed(pending.index, code, &why);
+                    work.settle_failed(pending.index, code, &reason);
                     "failed"
                 } else {
                     work.put_last(pending);
--- a/src/dispatcher/chunk_work.rs
+++ b/src/dispatcher/chunk_work.rs
@@ -232,9 +232,9 @@
     }
 
     /// Notes that an item has no answer.
-    pub fn settle_failed(&mut self, index: u32, code: batch_item::ItemErrorCode, why: &str) {
+    pub fn settle_failed(&mut self, index: u32, code: batch_item::ItemErrorCode, reason: &str) {
         let custom_id = self.items[index as usize].custom_id.clone();
-        let result = batch_item::ItemResult::failed(&custom_id, code, why);
+        let result = batch_item::ItemResult::failed(&custom_id, code, reason);
         self.settle(index, &result);
     }
 
--- a/src/dispatcher/item_run.rs
+++ b/src/dispatcher/item_run.rs
@@ -76,8 +76,8 @@
     match endpoint_client::call_whole(client, &call).await {
         AttemptOutcome::Completed(answer) => ItemEnd::Settled(to_result(item, &call, &answer)),
         AttemptOutcome::NotRun(_) => ItemEnd::NotRun,
-        AttemptOutcome::Failed(why) | AttemptOutcome::Unknown(why) => {
-            ItemEnd::Failed(why, String::new())
+        AttemptOutcome::Failed(reason) | AttemptOutcome::Unknown(reason) => {
+            ItemEnd::Failed(reason, String::new())
         }
     }
 }
@@ -130,8 +130,8 @@
             return ItemEnd::Settled(to_result(item, &call, &answer));
         }
         AttemptOutcome::NotRun(_) => return ItemEnd::NotRun,
-        AttemptOutcome::Failed(why) | AttemptOutcome::Unknown(why) => {
-            return ItemEnd::Failed(why, pending.text.clone());
+        AttemptOutcome::Failed(reason) | AttemptOutcome::Unknown(reason) => {
+            return ItemEnd::Failed(reason, pending.text.clone());
         }
     };
     let reader = ItemReader {
@@ -191,14 +191,14 @@
             };
             let event = match next {
                 Ok(Some(Ok(event))) => event,
-                Ok(Some(Err(why))) => return Err(ItemEnd::Failed(why, self.text)),
+                Ok(Some(Err(reason))) => return Err(ItemEnd::Failed(reason, self.text)),
                 Ok(None) => {
-                    let why = "the stream ended early".to_owned();
-                    return Err(ItemEnd::Failed(why, self.text));
+                    let reason = "the stream ended early".to_owned();
+                    return Err(ItemEnd::Failed(reason, self.text));
                 }
                 Err(_) => {
-                    let why = "the endpoint was silent".to_owned();
-                    return Err(ItemEnd::Failed(why, self.text));
+                    let reason = "the endpoint was silent".to_owned();
+                    return Err(ItemEnd::Failed(reason, self.text));
                 }
             };
             let cursor = cursor.get_or_insert_with(|| relay::RelayCursor::starting_at(event.index));
--- a/src/dispatcher/status_page.rs
+++ b/src/dispatcher/status_page.rs
@@ -17,7 +17,7 @@
         &self,
         request: actix_http::Request,
     ) -> future::LocalBoxFuture<'static, http_server::HttpResponse> {
-        let answer = match request.path() {
+        let response = match request.path() {
             "/healthz" => http_server::plain(StatusCode::OK, "ok"),
             "/readyz" if self.fleet.snapshot().synced => {
                 http_server::plain(StatusCode::OK, "ready")
@@ -26,7 +26,7 @@
             "/metrics" => http_server::plain(StatusCode::OK, self.metrics.render()),
             _ => http_server::plain(StatusCode::NOT_FOUND, "no such path"),
         };
-        future::ready(answer).boxed_local()
+        future::ready(response).boxed_local()
     }
 }
 
--- a/src/endpoint_client.rs
+++ b/src/endpoint_client.rs
@@ -115,8 +115,8 @@
         // A bare `Completed` is never made by `send`.
         O::Completed(()) => O::Unknown(String::new()),
         O::NotRun(proof) => O::NotRun(proof),
-        O::Failed(why) => O::Failed(why),
-        O::Unknown(why) => O::Unknown(why),
+        O::Failed(reason) => O::Failed(reason),
+        O::Unknown(reason) => O::Unknown(reason),
     }
 }
 
--- a/src/error.rs
+++ b/src/error.rs
@@ -170,14 +170,14 @@
     }
 
     /// The answer to give.
-    pub fn answer(&self) -> http_server::HttpResponse {
-        let mut answer = http_server::json(self.code.status(), &self.body());
+    pub fn to_response(&self) -> http_server::HttpResponse {
+        let mut response = http_server::json(self.code.status(), &self.body());
         if let Some(after) = self.retry_after {
             let name = actix_http::header::RETRY_AFTER;
             let value = actix_http::header::HeaderValue::from(after.as_secs());
-            answer.headers_mut().insert(name, value);
+            response.headers_mut().insert(name, value);
         }
-        answer
+        response
     }
 }
 
--- a/src/explain/loss_report.rs
+++ b/src/explain/loss_report.rs
@@ -127,20 +127,20 @@
 ) -> Option<String> {
     let outcome = line.field("outcome").unwrap_or("-");
     let attempt = line.field("request").and_then(|id| attempts.get(id));
-    let why = attempt.map(|line| {
-        let why = line.field("why").filter(|why| !why.is_empty());
-        without_numbers(why.or(line.field("outcome")).unwrap_or("-"))
+    let reason = attempt.map(|line| {
+        let reason = line.field("why").filter(|reason| !reason.is_empty());
+        without_numbers(reason.or(line.field("outcome")).unwrap_or("-"))
     });
     let first_ms = line.number("first_ms").or(line.number("ms"))?;
     let is_late = line
         .number("objective_ms")
         .is_some_and(|aim| first_ms > aim);
-    match (outcome, why) {
+    match (outcome, reason) {
         ("answered", _) if !is_late => None,
-        ("answered", Some(why)) => Some(format!("late after an attempt: {why}")),
+        ("answered", Some(reason)) => Some(format!("late after an attempt: {reason}")),
         ("answered", None) => Some("late at its first endpoint".into()),
         ("refused", None) => Some("refused: no place".into()),
-        (outcome, Some(why)) => Some(format!("{outcome}: {why}")),
+        (outcome, Some(reason)) => Some(format!("{outcome}: {reason}")),
         (outcome, None) => Some(outcome.to_owned()),
     }
 }
@@ -204,13 +204,13 @@
             Some(_) => "late",
             None => "not done in the logs",
         };
-        let why = match (self.uncommitted, self.owners.len(), self.preempted) {
+        let reason = match (self.uncommitted, self.owners.len(), self.preempted) {
             (1.., _, _) => "the store did not take results",
             (0, 2.., _) => "its owner changed",
             (0, _, 1..) => "its items lost places to online requests",
             _ => "it waited or ran long",
         };
-        Some(format!("{how}: {why}"))
+        Some(format!("{how}: {reason}"))
     }
 
     fn take_due(&mut self, line: &LogLine) {
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -43,14 +43,14 @@
 
     /// Takes a bundle that a peer told; an older one is left alone.
     pub fn offer_bundle(&self, offer: link::BundleOffer) {
-        let told = self.commands.try_send(FleetCommand::OfferBundle(offer));
-        told.ok_or_log("bundle_offer_dropped");
+        let sent = self.commands.try_send(FleetCommand::OfferBundle(offer));
+        sent.ok_or_log("bundle_offer_dropped");
     }
 
     /// Shows everyone that this instance takes no new work.
     pub fn leave(&self) {
-        let told = self.commands.try_send(FleetCommand::Leave);
-        told.ok_or_log("leave_unheard");
+        let sent = self.commands.try_send(FleetCommand::Leave);
+        sent.ok_or_log("leave_unheard");
     }
 
     /// The bundle in force here, if its generation is above `known`.
--- a/src/fleet/model.rs
+++ b/src/fleet/model.rs
@@ -53,17 +53,17 @@
 
     pub(super) fn take_answer(
         &mut self,
-        answer: &platform::WatchResponse,
+        response: &platform::WatchResponse,
         now: clock::MonotonicTime,
     ) {
-        for change in &answer.changes {
+        for change in &response.changes {
             self.take_change(change);
         }
         if self.revision == store::ObjectRevision(0) {
             // Stops that stood before this process were for an earlier one of its name.
             self.stops.clear();
         }
-        self.revision = store::ObjectRevision(answer.revision.max(self.revision.0));
+        self.revision = store::ObjectRevision(response.revision.max(self.revision.0));
         self.store_answers = true;
         self.read_at = now;
     }
--- a/src/fleet/watcher.rs
+++ b/src/fleet/watcher.rs
@@ -66,9 +66,9 @@
                 WATCH_WAIT
             };
             match self.store.watch(&WATCHED, since, wait).await {
-                Ok(answer) => {
+                Ok(response) => {
                     backoff = settle::JitteredBackoff::default();
-                    self.take_answer(answer).await;
+                    self.take_answer(response).await;
                     let pace = time::Duration::from_millis(self.options.pace.watch_pace_ms);
                     actix_rt::time::sleep(pace).await;
                 }
@@ -83,10 +83,10 @@
         }
     }
 
-    async fn take_answer(&self, answer: platform::WatchResponse) {
+    async fn take_answer(&self, response: platform::WatchResponse) {
         self.model
             .borrow_mut()
-            .take_answer(&answer, self.clock.now());
+            .take_answer(&response, self.clock.now());
         self.fetch_wanted().await;
         self.model.borrow_mut().record_synced();
         self.publish();
@@ -174,7 +174,7 @@
     }
 
     async fn run_endpoints(self) {
-        let pause = time::Duration::from_millis(self.options.pace.endpoints_poll_ms);
+        let delay = time::Duration::from_millis(self.options.pace.endpoints_poll_ms);
         let mut known = None;
         loop {
             match self.store.endpoints(known).await {
@@ -187,7 +187,7 @@
                 // What is known stays in use: endpoints outlast the list's outage.
                 Err(e) => log::debug!("event=endpoints_unread why=\"{e}\""),
             }
-            actix_rt::time::sleep(pause).await;
+            actix_rt::time::sleep(delay).await;
         }
     }
 
@@ -222,10 +222,10 @@
     }
 
     async fn run_leases(self) {
-        let pause = self.options.pace.heartbeat() / 2;
+        let delay = self.options.pace.heartbeat() / 2;
         let mut live = 0;
         loop {
-            actix_rt::time::sleep(pause).await;
+            actix_rt::time::sleep(delay).await;
             let count = self.model.borrow_mut().tick_leases(self.clock.now());
             if count != live {
                 live = count;
--- a/src/gateway/generation.rs
+++ b/src/gateway/generation.rs
@@ -34,9 +34,9 @@
     if wanted.stream {
         return stream_relay::serve(context, client, terms, call, slot).await;
     }
-    let answer = whole_call::run_once(context, client, &terms, call).await?;
+    let response = whole_call::run_once(context, client, &terms, call).await?;
     drop(slot);
-    Ok(whole_call::to_http(&answer))
+    Ok(whole_call::to_http(&response))
 }
 
 /// Most tokens that an answer may be asked to have.
--- a/src/gateway/once.rs
+++ b/src/gateway/once.rs
@@ -134,8 +134,8 @@
     }
 }
 
-fn unavailable(why: &store::StoreError) -> error::ApiError {
-    let message = format!("the call cannot be recorded, so it was not sent: {why}");
+fn unavailable(reason: &store::StoreError) -> error::ApiError {
+    let message = format!("the call cannot be recorded, so it was not sent: {reason}");
     error::ApiError::not_run(error::ErrorCode::StoreUnavailable, message)
 }
 
@@ -147,13 +147,17 @@
             message,
         ));
     }
-    let unknown = |why: &str| {
+    let unknown = |reason: &str| {
         let code = error::ErrorCode::OutcomeUnknown;
-        Err(error::ApiError::ran(code, error::RanReport::Unknown, why))
+        Err(error::ApiError::ran(
+            code,
+            error::RanReport::Unknown,
+            reason,
+        ))
     };
     match found.state {
         OnceState::Answered(kept) => match kept.into_answer() {
-            Some(answer) => Ok(OnceEntry::Replay(answer)),
+            Some(response) => Ok(OnceEntry::Replay(response)),
             None => {
                 let message = "the call ran and was answered; the kept answer cannot be read";
                 let code = error::ErrorCode::EndpointFailed;
@@ -165,7 +169,7 @@
             let code = error::ErrorCode::EndpointFailed;
             Err(error::ApiError::ran(code, error::RanReport::Yes, message))
         }
-        OnceState::Unknown(why) => unknown(&why),
+        OnceState::Unknown(reason) => unknown(&reason),
         OnceState::Started if now < found.lost_after => {
             let message = "a call with this idempotency key is under way";
             let code = error::ErrorCode::InProgress;
@@ -178,11 +182,11 @@
 }
 
 impl KeptAnswer {
-    fn new(answer: &endpoint_client::EndpointResponse) -> Self {
+    fn new(response: &endpoint_client::EndpointResponse) -> Self {
         Self {
-            status: answer.status.as_u16(),
-            content_type: answer.content_type.clone(),
-            body: base64::engine::general_purpose::STANDARD.encode(&answer.body),
+            status: response.status.as_u16(),
+            content_type: response.content_type.clone(),
+            body: base64::engine::general_purpose::STANDARD.encode(&response.body),
         }
     }
 
@@ -207,8 +211,8 @@
     outcome: &error::ApiResult<endpoint_client::EndpointResponse>,
 ) {
     let state = match outcome {
-        Ok(answer) if answer.body.len() <= MAX_KEPT_BYTES => {
-            OnceState::Answered(KeptAnswer::new(answer))
+        Ok(response) if response.body.len() <= MAX_KEPT_BYTES => {
+            OnceState::Answered(KeptAnswer::new(response))
         }
         Ok(_) => OnceState::AnsweredUnkept,
         Err(e) if e.ran == error::RanReport::No => {
--- a/src/gateway/plain_calls.rs
+++ b/src/gateway/plain_calls.rs
@@ -54,6 +54,6 @@
         repeatable: !terms.forbids_repeat && (safe || spec.repeatable),
     };
     let _place = admit::admit(context, terms)?;
-    let answer = whole_call::run_once(context, client, terms, call).await?;
-    Ok(whole_call::to_http(&answer))
+    let response = whole_call::run_once(context, client, terms, call).await?;
+    Ok(whole_call::to_http(&response))
 }
--- a/src/gateway/router.rs
+++ b/src/gateway/router.rs
@@ -120,25 +120,29 @@
         context: &context::GatewayContext,
         outcome: error::ApiResult<http_server::HttpResponse>,
     ) -> http_server::HttpResponse {
-        let (code, why, mut answer) = match outcome {
-            Ok(answer) => ("ok", String::new(), answer),
-            Err(e) => (e.code.as_str(), e.message.replace('"', "'"), e.answer()),
+        let (code, reason, mut response) = match outcome {
+            Ok(response) => ("ok", String::new(), response),
+            Err(e) => (
+                e.code.as_str(),
+                e.message.replace('"', "'"),
+                e.to_response(),
+            ),
         };
-        context.metrics.answers.with_label_values(&[code]).inc();
+        context.metrics.responses.with_label_values(&[code]).inc();
         log::info!(
             "event=answered request={} method={} path={} status={} code={code} ms={} why=\"{}\"",
             self.request_id,
             self.method,
             self.path.escape_debug(),
-            answer.status().as_u16(),
+            response.status().as_u16(),
             self.started.elapsed().as_millis(),
-            why
+            reason
         );
         let name = actix_http::header::HeaderName::from_static(caller_request::REQUEST_HEADER);
         if let Ok(value) = self.request_id.parse() {
-            answer.headers_mut().insert(name, value);
+            response.headers_mut().insert(name, value);
         }
-        answer
+        response
     }
 }
 
--- a/src/gateway/stream_relay.rs
+++ b/src/gateway/stream_relay.rs
@@ -60,7 +60,7 @@
     let ticket = match terms.key.as_ref().filter(|_| !call.repeatable) {
         None => None,
         Some(key) => match once::begin(context, &terms, key, &call.path, &call.body).await? {
-            once::OnceEntry::Replay(answer) => return Ok(whole_call::to_http(&answer)),
+            once::OnceEntry::Replay(response) => return Ok(whole_call::to_http(&response)),
             once::OnceEntry::Send(ticket) => Some(ticket),
         },
     };
@@ -87,7 +87,7 @@
     });
     match receiver.recv().await {
         Some(RelayItem::Piece(first)) => Ok(event_answer(first, receiver)),
-        Some(RelayItem::Whole(answer)) => Ok(whole_call::to_http(&answer)),
+        Some(RelayItem::Whole(response)) => Ok(whole_call::to_http(&response)),
         Some(RelayItem::Failed(e)) => Err(e),
         None => Err(error::ApiError::ran(
             error::ErrorCode::Internal,
@@ -177,10 +177,10 @@
             loop {
                 self.attempts += 1;
                 let (attempt, outcome) = self.attempt(&hold, &take_up).await;
-                let why = match outcome {
+                let reason = match outcome {
                     Ok(PumpEnd::Finished | PumpEnd::CallerGone) => return Ok(()),
                     Ok(PumpEnd::Late) => return Err(self.late()),
-                    Ok(PumpEnd::Cut(why)) => why,
+                    Ok(PumpEnd::Cut(reason)) => reason,
                     Err(ended) => {
                         self.decide(&hold, ended)?;
                         break;
@@ -194,7 +194,7 @@
                     take_up = TakeUp::Resume(attempt);
                     continue;
                 }
-                self.decide(&hold, outcome::AttemptOutcome::Unknown(why))?;
+                self.decide(&hold, outcome::AttemptOutcome::Unknown(reason))?;
                 break;
             }
         }
@@ -271,13 +271,13 @@
                 }
                 Ok(end)
             }
-            O::Completed(endpoint_client::OpenedStream::Whole(answer)) => {
-                let _ = self.sender.send(RelayItem::Whole(answer)).await;
+            O::Completed(endpoint_client::OpenedStream::Whole(response)) => {
+                let _ = self.sender.send(RelayItem::Whole(response)).await;
                 Ok(PumpEnd::CallerGone)
             }
             O::NotRun(proof) => Err(O::NotRun(proof)),
-            O::Failed(why) => Err(O::Failed(why)),
-            O::Unknown(why) => Err(O::Unknown(why)),
+            O::Failed(reason) => Err(O::Failed(reason)),
+            O::Unknown(reason) => Err(O::Unknown(reason)),
         };
         (attempt, ended)
     }
@@ -340,7 +340,7 @@
             };
             let event = match next {
                 Ok(Some(Ok(event))) => event,
-                Ok(Some(Err(why))) => return PumpEnd::Cut(why),
+                Ok(Some(Err(reason))) => return PumpEnd::Cut(reason),
                 Ok(None) => return PumpEnd::Cut("the stream ended early".into()),
                 Err(_) if self.deadline <= self.context.clock.now() => return PumpEnd::Late,
                 Err(_) => return PumpEnd::Cut("the endpoint was silent".into()),
@@ -389,11 +389,11 @@
         self.latest = Some(now);
     }
 
-    fn observe(&self, histogram: &prometheus::HistogramVec, span: time::Duration) {
+    fn observe(&self, histogram: &prometheus::HistogramVec, duration: time::Duration) {
         let workspace = self.terms.workspace.id.as_str();
         let class = self.terms.class.as_str();
         self.context
             .metrics
-            .observe(histogram, workspace, class, span);
+            .observe(histogram, workspace, class, duration);
     }
 }
--- a/src/gateway/whole_call.rs
+++ b/src/gateway/whole_call.rs
@@ -29,10 +29,10 @@
 }
 
 /// The answer of an endpoint as it goes to the caller.
-pub fn to_http(answer: &endpoint_client::EndpointResponse) -> http_server::HttpResponse {
-    actix_http::Response::build(answer.status)
-        .insert_header(("content-type", answer.content_type.as_str()))
-        .body(answer.body.clone())
+pub fn to_http(response: &endpoint_client::EndpointResponse) -> http_server::HttpResponse {
+    actix_http::Response::build(response.status)
+        .insert_header(("content-type", response.content_type.as_str()))
+        .body(response.body.clone())
         .map_into_boxed_body()
 }
 
@@ -46,17 +46,17 @@
     terms: &caller_request::CallerTerms,
     call: WholeCall,
 ) -> error::ApiResult<endpoint_client::EndpointResponse> {
-    let answer = run_recorded(context, client, terms, call).await?;
+    let response = run_recorded(context, client, terms, call).await?;
     let workspace = terms.workspace.id.as_str();
-    let span = terms.arrived.elapsed();
+    let duration = terms.arrived.elapsed();
     let metrics = &context.metrics;
     metrics.observe(
         &metrics.full_response,
         workspace,
         terms.class.as_str(),
-        span,
+        duration,
     );
-    Ok(answer)
+    Ok(response)
 }
 
 /// Runs a call; one with a key that may not be repeated is recorded first.
@@ -72,7 +72,7 @@
     };
     let path = format!("{}{}", call.service, call.path);
     match once::begin(context, terms, key, &path, &call.body).await? {
-        once::OnceEntry::Replay(answer) => Ok(answer),
+        once::OnceEntry::Replay(response) => Ok(response),
         once::OnceEntry::Send(ticket) => {
             // Apart from the caller's connection: the record must be ended even if it goes.
             let (context, client, terms) = (context.clone(), client.clone(), terms.clone());
@@ -123,9 +123,14 @@
         };
         if attempts == 1 {
             let workspace = terms.workspace.id.as_str();
-            let span = terms.arrived.elapsed();
+            let duration = terms.arrived.elapsed();
             let metrics = &context.metrics;
-            metrics.observe(&metrics.queue_time, workspace, terms.class.as_str(), span);
+            metrics.observe(
+                &metrics.queue_time,
+                workspace,
+                terms.class.as_str(),
+                duration,
+            );
         }
         let outcome = attempt(context, client, call, &hold, deadline).await;
         record(context, &hold, &outcome);
@@ -199,8 +204,8 @@
             context.health().record_failure(id, context.clock.now());
             "failed"
         }
-        outcome::AttemptOutcome::Unknown(why) => {
-            if why == endpoint_client::CROSSED {
+        outcome::AttemptOutcome::Unknown(reason) => {
+            if reason == endpoint_client::CROSSED {
                 context.metrics.crossed.inc();
             }
             context.health().record_failure(id, context.clock.now());
--- a/src/http_server.rs
+++ b/src/http_server.rs
@@ -171,8 +171,8 @@
                 data.insert(ConnectionGuard::new(&terms));
             })
             .finish(move |request: actix_http::Request| {
-                let answer = handler.handle(request);
-                async move { Ok::<_, convert::Infallible>(answer.await) }
+                let response = handler.handle(request);
+                async move { Ok::<_, convert::Infallible>(response.await) }
             })
     }};
 }
--- a/src/link/client.rs
+++ b/src/link/client.rs
@@ -78,7 +78,7 @@
         peer: net::SocketAddr,
         request: PermitRequest,
     ) -> Result<PermitResponse, LinkError> {
-        let (reply, answer) = oneshot::channel();
+        let (reply, response) = oneshot::channel();
         let call = LinkCall::Permit {
             peer,
             request,
@@ -87,7 +87,7 @@
         self.ring
             .try_send(call)
             .map_err(|_| LinkError::Unreachable)?;
-        answer.await.unwrap_or(Err(LinkError::Unreachable))
+        response.await.unwrap_or(Err(LinkError::Unreachable))
     }
 
     /// Ends a permit; a lost message is made up for by the permit's expiry.
@@ -108,10 +108,10 @@
         peer: net::SocketAddr,
         known: bundle::BundleGeneration,
     ) -> Option<BundleOffer> {
-        let (reply, answer) = oneshot::channel();
+        let (reply, response) = oneshot::channel();
         let call = LinkCall::Ask { peer, known, reply };
         self.ring.try_send(call).ok_or_log("bundle_unasked")?;
-        answer.await.ok_or_log("bundle_unanswered").flatten()
+        response.await.ok_or_log("bundle_unanswered").flatten()
     }
 }
 
@@ -138,16 +138,16 @@
             } => {
                 let client = connected(&peers, peer, &shared);
                 actix_rt::spawn(async move {
-                    let answer = ask_permit(client, request, permit_timeout).await;
+                    let response = ask_permit(client, request, permit_timeout).await;
                     // The asker may have stopped waiting.
-                    drop(reply.send(answer));
+                    drop(reply.send(response));
                 });
             }
             LinkCall::Release { peer, release } => {
                 if let Some(client) = connected(&peers, peer, &shared) {
                     actix_rt::spawn(async move {
-                        let told = client.release(tarpc::context::current(), release).await;
-                        told.ok_or_log("release_lost");
+                        let sent = client.release(tarpc::context::current(), release).await;
+                        sent.ok_or_log("release_lost");
                     });
                 }
             }
@@ -155,8 +155,8 @@
                 let client = connect_wait(&peers, peer, &shared);
                 actix_rt::spawn(async move {
                     if let Some(client) = client.await {
-                        let told = client.offer_bundle(tarpc::context::current(), offer).await;
-                        told.ok_or_log("bundle_offer_lost");
+                        let sent = client.offer_bundle(tarpc::context::current(), offer).await;
+                        sent.ok_or_log("bundle_offer_lost");
                     }
                 });
             }
@@ -164,10 +164,10 @@
                 let client = connect_wait(&peers, peer, &shared);
                 actix_rt::spawn(async move {
                     if let Some(client) = client.await {
-                        let answer = client.newer_bundle(tarpc::context::current(), known).await;
-                        let answer = answer.ok_or_log("bundle_unanswered").flatten();
+                        let response = client.newer_bundle(tarpc::context::current(), known).await;
+                        let response = response.ok_or_log("bundle_unanswered").flatten();
                         // The asker may have stopped waiting.
-                        drop(reply.send(answer));
+                        drop(reply.send(response));
                     }
                 });
             }
@@ -184,7 +184,7 @@
     let mut context = tarpc::context::current();
     context.deadline = time::Instant::now() + timeout;
     match client.permit(context, request).await {
-        Ok(answer) => Ok(answer),
+        Ok(response) => Ok(response),
         Err(tarpc::client::RpcError::DeadlineExceeded) => Err(LinkError::TimedOut),
         Err(_) => Err(LinkError::Unreachable),
     }
--- a/src/link/server.rs
+++ b/src/link/server.rs
@@ -101,8 +101,8 @@
     let transport = tarpc::serde_transport::new(frames, codec);
     tarpc::server::BaseChannel::with_defaults(transport)
         .execute(server.serve())
-        .for_each(|answer| async {
-            actix_rt::spawn(answer);
+        .for_each(|response| async {
+            actix_rt::spawn(response);
         })
         .await;
 }
--- a/src/local_fleet.rs
+++ b/src/local_fleet.rs
@@ -228,7 +228,7 @@
     /// # Errors
     /// The gateway refuses it.
     pub async fn submit_bundle(&self, document: &bundle::BundleDocument) -> io::Result<()> {
-        let client = cli::client::ApiClient::new(&self.reach(OPERATOR_KEY));
+        let client = cli::client::ApiClient::new(&self.profile(OPERATOR_KEY));
         let document = serde_json::to_vec(document).map_err(io::Error::other)?;
         let draft = client.post("/operator/v1/bundles", document).await;
         let draft = draft.map_err(io::Error::other)?;
@@ -247,7 +247,7 @@
     }
 
     /// How the command line reaches the first gateway with a key.
-    pub fn reach(&self, key: &str) -> cli::GatewayProfile {
+    pub fn profile(&self, key: &str) -> cli::GatewayProfile {
         cli::GatewayProfile {
             url: format!("http://{}", self.address()),
             key: key.to_owned(),
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -29,7 +29,7 @@
     /// Seconds from arrival to the first attempt, by workspace and class.
     pub queue_time: prometheus::HistogramVec,
     /// Answers by status code of the error shape, or `ok`.
-    pub answers: prometheus::IntCounterVec,
+    pub responses: prometheus::IntCounterVec,
     /// Attempts by how they ended.
     pub attempts: prometheus::IntCounterVec,
     /// Attempts that did not run, by reason.
@@ -126,7 +126,7 @@
             between_tokens: histogram(r, "jayhollow_between_tokens_seconds", "Between tokens"),
             full_response: histogram(r, "jayhollow_whole_answer_seconds", "Whole answer"),
             queue_time: histogram(r, "jayhollow_queue_seconds", "Arrival to first attempt"),
-            answers: counters(r, "jayhollow_answers_total", "Answers", "code"),
+            responses: counters(r, "jayhollow_answers_total", "Answers", "code"),
             attempts: counters(r, "jayhollow_attempts_total", "Attempts", "outcome"),
             refusals: counters(
                 r,
@@ -223,12 +223,12 @@
         histogram: &prometheus::HistogramVec,
         workspace: &str,
         class: &str,
-        span: time::Duration,
+        duration: time::Duration,
     ) {
         let labels = [self.workspace_label(workspace), class];
         histogram
             .with_label_values(&labels)
-            .observe(span.as_secs_f64());
+            .observe(duration.as_secs_f64());
     }
 
     /// All metrics in the text form that Prometheus reads.
--- a/src/outcome.rs
+++ b/src/outcome.rs
@@ -107,15 +107,15 @@
                 error::ErrorCode::Overloaded,
                 "no endpoint took the request",
             )),
-            Self::Failed(why) => Err(error::ApiError::ran(
+            Self::Failed(reason) => Err(error::ApiError::ran(
                 error::ErrorCode::EndpointFailed,
                 error::RanReport::Yes,
-                why,
+                reason,
             )),
-            Self::Unknown(why) => Err(error::ApiError::ran(
+            Self::Unknown(reason) => Err(error::ApiError::ran(
                 error::ErrorCode::OutcomeUnknown,
                 error::RanReport::Unknown,
-                why,
+                reason,
             )),
         }
     }
--- a/src/serving/answer_copy.rs
+++ b/src/serving/answer_copy.rs
@@ -15,8 +15,8 @@
     let mut body = bytes::BytesMut::new();
     while let Some(bytes) = incoming.next_bytes().await? {
         if body.len() + bytes.len() > MAX_HELD_BYTES {
-            let why = format!("the answer is larger than {MAX_HELD_BYTES} bytes");
-            return Err(connection::ExchangeError::Malformed(why));
+            let reason = format!("the answer is larger than {MAX_HELD_BYTES} bytes");
+            return Err(connection::ExchangeError::Malformed(reason));
         }
         body.extend_from_slice(&bytes);
     }
@@ -34,11 +34,11 @@
 pub(super) fn copy_headers(
     context: &context::ProcessContext,
     head: &actix_http::ResponseHead,
-    answer: &mut actix_http::ResponseBuilder,
+    response: &mut actix_http::ResponseBuilder,
 ) {
     for (name, value) in head.headers() {
         if context.wire.is_forwarded(name) {
-            answer.append_header((name.clone(), value.clone()));
+            response.append_header((name.clone(), value.clone()));
         }
     }
 }
--- a/src/serving/attempt_flow.rs
+++ b/src/serving/attempt_flow.rs
@@ -147,8 +147,8 @@
 
     async fn pause_search(&mut self) {
         self.log.refused = 0;
-        let pause = self.log.pace.next_delay().min(self.left());
-        tokio::time::sleep(pause).await;
+        let delay = self.log.pace.next_delay().min(self.left());
+        tokio::time::sleep(delay).await;
     }
 
     async fn request_slot(
@@ -292,8 +292,8 @@
         if self.log.ran > 0 {
             return relay::FinalError::Failed("no endpoint took the next attempt".into());
         }
-        let pause = self.request.route.objective.mul_f64(RETURN_SHARE);
-        relay::FinalError::NotRun(pause, "no endpoint took the request".into())
+        let delay = self.request.route.objective.mul_f64(RETURN_SHARE);
+        relay::FinalError::NotRun(delay, "no endpoint took the request".into())
     }
 
     /// How to go on after an attempt that may have run.
--- a/src/serving/caller_handler.rs
+++ b/src/serving/caller_handler.rs
@@ -33,19 +33,19 @@
         let context = self.context.clone();
         Box::pin(async move {
             let active = relay::ActiveRequest::begin(&context);
-            let mut answer = answer(context.clone(), request, active).await;
+            let mut response = respond(context.clone(), request, active).await;
             // Also where the stop came while the request was under way.
             if context.is_stopping() {
-                answer
+                response
                     .head_mut()
                     .set_connection_type(actix_http::ConnectionType::Close);
             }
-            answer
+            response
         })
     }
 }
 
-async fn answer(
+async fn respond(
     context: rc::Rc<context::ProcessContext>,
     mut request: actix_http::Request,
     active: relay::ActiveRequest,
@@ -70,9 +70,9 @@
         return match request_admission::identify(&context, &table, &terms, is_public) {
             Ok(workspace) => {
                 let workspace = workspace.as_ref().map(|spec| &spec.id);
-                job_calls::answer(&context, call, workspace).await
+                job_calls::respond(&context, call, workspace).await
             }
-            Err(answer) => answer,
+            Err(response) => response,
         };
     }
     let Some(route) = table.find(&host, &path).cloned() else {
@@ -90,7 +90,7 @@
     let identified = request_admission::identify(&context, &table, &terms, route.is_public);
     let workspace = match identified {
         Ok(workspace) => workspace,
-        Err(answer) => return answer,
+        Err(response) => return response,
     };
     let timeout = terms.timeout.unwrap_or(DEFAULT_TIMEOUT).min(route.timeout);
     let body_timeout = timeout.min(time::Duration::from_secs(10));
@@ -110,7 +110,7 @@
     }
     let token = match request_admission::admit(&context, &workspace, &terms).await {
         Ok(token) => token,
-        Err(answer) => return answer,
+        Err(response) => return response,
     };
     let (method, uri) = (request.method(), request.uri());
     let digest = ids::RequestDigest::of(method.as_str(), &host, &uri.to_string(), &body);
@@ -141,10 +141,10 @@
 }
 
 /// Refuses a request that this process has not begun; another one will serve it.
-fn come_back(why: &'static str) -> http_server::HttpResponse {
+fn come_back(reason: &'static str) -> http_server::HttpResponse {
     actix_http::Response::build(StatusCode::SERVICE_UNAVAILABLE)
         .insert_header((header::RETRY_AFTER, COME_BACK_PAUSE))
-        .body(why)
+        .body(reason)
         .map_into_boxed_body()
 }
 
--- a/src/serving/crash_guard.rs
+++ b/src/serving/crash_guard.rs
@@ -177,7 +177,7 @@
     let is_new = merge(context, update);
     let now = context.clock.now();
     // Who has just started has seen nothing served, and blames what others know better.
-    if context.crashes.ledger.borrow_mut().vouch(digest, now) {
+    if context.crashes.ledger.borrow_mut().exonerate(digest, now) {
         log::info!("event=request_cleared digest={digest} held={was_held}");
         tell(context, digest);
     }
@@ -249,8 +249,8 @@
     };
     let fruitless = if is_new { 0 } else { guard.fruitless.get() + 1 };
     guard.fruitless.set(fruitless);
-    let pause = retry::backoff_delay(fruitless, &PULL_PACE, &mut rand::rng());
-    guard.ask_at.set(context.clock.now() + pause);
+    let delay = retry::backoff_delay(fruitless, &PULL_PACE, &mut rand::rng());
+    guard.ask_at.set(context.clock.now() + delay);
 }
 
 /// Forgets what is too old; the first owner removes what lies in the store of it.
@@ -291,8 +291,8 @@
             Ok(()) => written = Some(known),
             Err(e) => {
                 log::info!("event=held_request_unwritten digest={digest} why=\"{e}\"");
-                let pause = retry::backoff_delay(earlier, &SAVE_PACE, &mut rand::rng());
-                actix_rt::time::sleep(pause).await;
+                let delay = retry::backoff_delay(earlier, &SAVE_PACE, &mut rand::rng());
+                actix_rt::time::sleep(delay).await;
             }
         }
     }
@@ -350,8 +350,8 @@
             }
             Err(e) => log::info!("event=held_requests_unread why=\"{e}\""),
         }
-        let pause = retry::backoff_delay(earlier, &READ_PACE, &mut rand::rng());
-        actix_rt::time::sleep(pause).await;
+        let delay = retry::backoff_delay(earlier, &READ_PACE, &mut rand::rng());
+        actix_rt::time::sleep(delay).await;
     }
 }
 
--- a/src/serving/directory.rs
+++ b/src/serving/directory.rs
@@ -278,7 +278,7 @@
     /// What the peer keeps though it is removed may be removed for good here: it must
     /// not come back, and get requests, long after it is gone. Who has it still keeps it
     /// as long as the peer; so does who has no list yet, and would serve nobody else.
-    pub fn accept(&self, copy: DirectoryCopy) -> Vec<EndpointEntry> {
+    pub fn accept(&self, copy: DirectorySnapshot) -> Vec<EndpointEntry> {
         let expired: collections::HashSet<_> = copy.expired.into_iter().collect();
         let is_taken = |entry: &EndpointEntry| {
             let is_known = self.is_empty() || self.entries.contains_key(&entry.id);
@@ -450,7 +450,7 @@
 
 /// A list as it is told between processes.
 #[derive(Debug, Clone, Default, serde::Serialize, serde::Deserialize)]
-pub struct DirectoryCopy {
+pub struct DirectorySnapshot {
     /// Its number, see [`super::fleet_model::FleetModel::revision`].
     pub revision: u64,
     /// The entries.
--- a/src/serving/event_flow.rs
+++ b/src/serving/event_flow.rs
@@ -55,10 +55,10 @@
             let first = match first {
                 EventEnd::Event(event) => Some(event),
                 EventEnd::Finished => None,
-                EventEnd::Cut(why) => {
-                    self.record_broken(slot, "cut", &why);
+                EventEnd::Cut(reason) => {
+                    self.record_broken(slot, "cut", &reason);
                     slot.record_failed(false);
-                    match self.after_unknown(why) {
+                    match self.after_unknown(reason) {
                         attempt_flow::NextStep::GiveUp(e) => return Err(e),
                         attempt_flow::NextStep::Again => continue,
                     }
@@ -86,9 +86,9 @@
             () = self.time_over() => return Err(FinalError::Late),
         };
         let body = read.map_err(|e| FinalError::Failed(e.to_string()))?;
-        let answer = self.whole(&answered.open.incoming.head, body);
+        let response = self.whole(&answered.open.incoming.head, body);
         self.give_back(answered);
-        Ok(Served::Whole(answer))
+        Ok(Served::Whole(response))
     }
 
     /// Checks that an event is the next one.
@@ -113,9 +113,9 @@
         head: actix_http::ResponseHead,
         open: Box<OpenStream>,
     ) -> http_server::HttpResponse {
-        let mut answer = actix_http::Response::build(head.status);
-        answer_copy::copy_headers(&self.context, &head, &mut answer);
-        self.mark_close(&mut answer);
+        let mut response = actix_http::Response::build(head.status);
+        answer_copy::copy_headers(&self.context, &head, &mut response);
+        self.mark_close(&mut response);
         self.started = true;
         open.answered.slot.record_served();
         self.observe_first();
@@ -128,7 +128,7 @@
             let piece = flow.next_piece().await?;
             Some((piece, flow))
         });
-        answer
+        response
             .body(body::BodyStream::new(Box::pin(pieces)))
             .map_into_boxed_body()
     }
@@ -158,18 +158,21 @@
             if let Some(first) = open.first.take() {
                 return Some(Ok(first.bytes));
             }
-            let attempt_flow::Answered { slot, open: answer } = &mut open.answered;
-            let waiting = next_event(&mut answer.incoming, &mut open.splitter);
+            let attempt_flow::Answered {
+                slot,
+                open: response,
+            } = &mut open.answered;
+            let waiting = next_event(&mut response.incoming, &mut open.splitter);
             let awaited = slow_attempt::Awaited::NextEvent;
             let next = match self.relay.wait_or_move(slot, awaited, waiting).await {
                 Waited::Came(end) => self.relay.accept(end),
                 Waited::Lost(waited) => EventEnd::Cut(no_event(waited)),
                 Waited::Moved(next, waited) => {
-                    let why = no_event(waited);
-                    self.relay.record_attempt(&slot.endpoint.id, "cut", &why);
+                    let reason = no_event(waited);
+                    self.relay.record_attempt(&slot.endpoint.id, "cut", &reason);
                     self.open = None;
-                    if let Err(why) = self.resume(Some(next)).await {
-                        return Some(Err(self.give_up(&why)));
+                    if let Err(reason) = self.resume(Some(next)).await {
+                        return Some(Err(self.give_up(&reason)));
                     }
                     continue;
                 }
@@ -187,12 +190,12 @@
                     self.relay.record_end(ANSWERED, StatusCode::OK.as_u16());
                     return None;
                 }
-                EventEnd::Cut(why) => {
-                    self.relay.record_broken(slot, "cut", &why);
+                EventEnd::Cut(reason) => {
+                    self.relay.record_broken(slot, "cut", &reason);
                     slot.record_failed(true);
                     self.open = None;
-                    if let Err(why) = self.go_on_after(why).await {
-                        return Some(Err(self.give_up(&why)));
+                    if let Err(reason) = self.go_on_after(reason).await {
+                        return Some(Err(self.give_up(&reason)));
                     }
                 }
             }
@@ -200,21 +203,21 @@
     }
 
     /// Ends the answer so that the caller does not take what it has for all of it.
-    fn give_up(&mut self, why: &str) -> io::Error {
+    fn give_up(&mut self, reason: &str) -> io::Error {
         let relay = &self.relay;
         log::info!(
-            "event=stream_given_up request={} why=\"{why}\" left_ms={}",
+            "event=stream_given_up request={} why=\"{reason}\" left_ms={}",
             relay.request.terms.id.as_deref().unwrap_or("-"),
             relay.left().as_millis(),
         );
         self.is_over = true;
         relay.record_end("cut", 0);
-        io::Error::other(why.to_owned())
+        io::Error::other(reason.to_owned())
     }
 
     /// Takes the stream up at another endpoint after its run was lost.
-    async fn go_on_after(&mut self, why: String) -> Result<(), String> {
-        match self.relay.after_unknown(why) {
+    async fn go_on_after(&mut self, reason: String) -> Result<(), String> {
+        match self.relay.after_unknown(reason) {
             attempt_flow::NextStep::GiveUp(e) => Err(format!("{e:?}")),
             attempt_flow::NextStep::Again => self.resume(None).await,
         }
@@ -228,7 +231,7 @@
                 self.open = Some(open);
                 Ok(())
             }
-            Ok(Served::Whole(answer)) => Err(format!("the resumption got {}", answer.status())),
+            Ok(Served::Whole(response)) => Err(format!("the resumption got {}", response.status())),
             Err(e) => Err(format!("{e:?}")),
         }
     }
--- a/src/serving/fleet_model.rs
+++ b/src/serving/fleet_model.rs
@@ -158,10 +158,10 @@
     }
 
     /// The list of endpoints, for a peer.
-    pub fn copy(&self) -> directory::DirectoryCopy {
+    pub fn copy(&self) -> directory::DirectorySnapshot {
         let directory = self.directory.borrow();
         let entries = directory.entries().map(|e| (**e).clone()).collect();
-        directory::DirectoryCopy {
+        directory::DirectorySnapshot {
             revision: self.revision(),
             entries,
             expired: directory.expired(),
--- a/src/serving/fleet_source.rs
+++ b/src/serving/fleet_source.rs
@@ -15,7 +15,7 @@
     /// All endpoints at a revision of the store.
     Endpoints(u64, Vec<directory::EndpointEntry>),
     /// All endpoints as a peer knows them.
-    PeerEndpoints(directory::DirectoryCopy),
+    PeerEndpoints(directory::DirectorySnapshot),
     /// Changes of the endpoints up to a revision of the store.
     EndpointChanges(u64, Vec<directory::ListChange>),
     /// The source answers, or does not.
--- a/src/serving/item_run.rs
+++ b/src/serving/item_run.rs
@@ -124,10 +124,10 @@
     }
 
     /// Notes how long the run held its place, and at the item's end how long all did.
-    fn record_span(&self, span: time::Duration, end: &RunEnd) {
+    fn record_span(&self, duration: time::Duration, end: &RunEnd) {
         let mut job = self.job.borrow_mut();
         let progress = &mut job.items[self.index];
-        progress.spent += span;
+        progress.spent += duration;
         if *end == RunEnd::Completed {
             let spent = progress.spent;
             self.context.jobs.record_span(&self.endpoint.service, spent);
@@ -344,9 +344,9 @@
                 }
             }
             RunEnd::Cut(_) | RunEnd::NotRun(_) => {
-                let pause = retry::backoff_delay(progress.fruitless, &RETRY_PACE, &mut rand::rng());
+                let delay = retry::backoff_delay(progress.fruitless, &RETRY_PACE, &mut rand::rng());
                 progress.fruitless += 1;
-                progress.not_before = clock::BootInstant::now() + pause;
+                progress.not_before = clock::BootInstant::now() + delay;
             }
             RunEnd::Preempted => {}
         }
--- a/src/serving/job_acceptance.rs
+++ b/src/serving/job_acceptance.rs
@@ -35,8 +35,11 @@
         let writing = job_records::accept(context.store.as_ref(), record);
         match tokio::time::timeout(left, writing).await {
             Ok(Ok(())) => return Acceptance::Accepted,
-            Ok(Err(store::StoreError::Unavailable(why))) if !unknown => {
-                log::info!("event=acceptance_refused job={} why=\"{why}\"", record.id);
+            Ok(Err(store::StoreError::Unavailable(reason))) if !unknown => {
+                log::info!(
+                    "event=acceptance_refused job={} why=\"{reason}\"",
+                    record.id
+                );
                 return accept_by_peer(context, record, until).await;
             }
             Ok(Err(store::StoreError::TooLarge)) => return Acceptance::Refused,
--- a/src/serving/job_board.rs
+++ b/src/serving/job_board.rs
@@ -101,10 +101,10 @@
     }
 
     /// Notes how long an item held places, from its first run to its end.
-    pub fn record_span(&self, service: &ids::ServiceName, span: time::Duration) {
+    pub fn record_span(&self, service: &ids::ServiceName, duration: time::Duration) {
         let mut spans = self.spans.borrow_mut();
         let estimate = spans.entry(service.clone()).or_default();
-        estimate.record(span.as_millis() as u64);
+        estimate.record(duration.as_millis() as u64);
     }
 
     /// How long an item needs that held places for a while; nothing while it is not known.
@@ -222,8 +222,12 @@
 /// while no desired state names the route, as just after a start.
 pub fn due_of(context: &context::ProcessContext, record: &job_records::JobRecord) -> Option<u64> {
     let table = context.fleet.table();
-    let span = table.find_batch(&record.host)?.completion_objective;
-    Some(record.submitted_ms.saturating_add(span.as_millis() as u64))
+    let duration = table.find_batch(&record.host)?.completion_objective;
+    Some(
+        record
+            .submitted_ms
+            .saturating_add(duration.as_millis() as u64),
+    )
 }
 
 /// Works out when a job is due, if that was not known yet.
@@ -257,8 +261,8 @@
         }
         let part = match job_records::read_part(context.store.as_ref(), &id, parts).await {
             // It stays as it is, and its number is taken: the items have no results in it.
-            Err(store::StoreError::Corrupt(why)) => {
-                log::warn!("event=part_unreadable job={id} part={parts} why=\"{why}\"");
+            Err(store::StoreError::Corrupt(reason)) => {
+                log::warn!("event=part_unreadable job={id} part={parts} why=\"{reason}\"");
                 Some(job_records::ResultPart::default())
             }
             part => part?,
--- a/src/serving/job_calls.rs
+++ b/src/serving/job_calls.rs
@@ -52,9 +52,9 @@
     });
     let items = match items {
         Ok(items) => items,
-        Err(why) => {
-            log::info!("event=job_invalid job={id} why=\"{why}\"");
-            return http_server::plain(StatusCode::BAD_REQUEST, format!("{why}\n"));
+        Err(reason) => {
+            log::info!("event=job_invalid job={id} why=\"{reason}\"");
+            return http_server::plain(StatusCode::BAD_REQUEST, format!("{reason}\n"));
         }
     };
     drop(body);
@@ -92,15 +92,15 @@
     }
 }
 
-fn refused(why: &'static str) -> http_server::HttpResponse {
+fn refused(reason: &'static str) -> http_server::HttpResponse {
     actix_http::Response::build(StatusCode::SERVICE_UNAVAILABLE)
         .insert_header((header::RETRY_AFTER, REFUSED_PAUSE))
-        .body(why)
+        .body(reason)
         .map_into_boxed_body()
 }
 
 /// Answers a call about a job.
-pub async fn answer(
+pub async fn respond(
     context: &rc::Rc<context::ProcessContext>,
     call: wire::JobCall,
     workspace: Option<&ids::WorkspaceId>,
@@ -181,11 +181,11 @@
 ) -> Option<wire::ResultPage> {
     let (owner, address) = reader_of(context, &ask.job)?;
     let timeout = ask.wait + OWNER_SPARE;
-    let answer = context
+    let response = context
         .links
         .read_results(address, ask.clone(), timeout)
         .await;
-    answer
+    response
         .inspect_err(|e| {
             log::info!(
                 "event=owner_unread job={} owner={owner} why=\"{e}\"",
--- a/src/serving/job_checkpoints.rs
+++ b/src/serving/job_checkpoints.rs
@@ -84,7 +84,7 @@
 #[derive(Debug)]
 struct KeptJob {
     items: collections::HashMap<usize, ItemCheckpoint>,
-    heard: clock::BootInstant,
+    last_seen: clock::BootInstant,
 }
 
 impl KeptJob {
@@ -143,9 +143,9 @@
         let mut kept = self.kept.borrow_mut();
         let job = kept.entry(update.job).or_insert_with(|| KeptJob {
             items: collections::HashMap::new(),
-            heard: clock::BootInstant::now(),
+            last_seen: clock::BootInstant::now(),
         });
-        job.heard = clock::BootInstant::now();
+        job.last_seen = clock::BootInstant::now();
         let mut all_kept = true;
         for item in update.items {
             all_kept &= job.take(item);
@@ -190,10 +190,10 @@
     /// Drops what is old, and what is beyond the bound of bytes.
     pub fn trim(&self) {
         let mut kept = self.kept.borrow_mut();
-        kept.retain(|_, job| job.heard.elapsed() < KEPT_FOR);
+        kept.retain(|_, job| job.last_seen.elapsed() < KEPT_FOR);
         let mut jobs: Vec<_> = kept
             .iter()
-            .map(|(id, job)| (job.heard, job.bytes(), id.clone()))
+            .map(|(id, job)| (job.last_seen, job.bytes(), id.clone()))
             .collect();
         jobs.sort_by_key(|(heard, _, _)| std::cmp::Reverse(*heard));
         let mut bytes = 0;
@@ -275,8 +275,8 @@
         };
         let links = context.links.clone();
         actix_rt::spawn(async move {
-            let told = progress_transfer::tell(&links, address, &end).await;
-            log::debug!("event=job_end_told job={} outcome={told:?}", end.job);
+            let sent = progress_transfer::tell(&links, address, &end).await;
+            log::debug!("event=job_end_told job={} outcome={sent:?}", end.job);
         });
     }
 }
@@ -291,9 +291,9 @@
         };
         let address = context.members.borrow().address_of(&owner);
         let Some(address) = address else { continue };
-        let told = progress_transfer::tell(&context.links, address, &kept).await;
+        let sent = progress_transfer::tell(&context.links, address, &kept).await;
         log::info!(
-            "event=progress_offered job={} owner={owner} outcome={told:?}",
+            "event=progress_offered job={} owner={owner} outcome={sent:?}",
             kept.job
         );
     }
--- a/src/serving/job_sponsor.rs
+++ b/src/serving/job_sponsor.rs
@@ -114,14 +114,14 @@
     let address = context.members.borrow().address_of(owner)?;
     let id = &record.id;
     let links = &context.links;
-    let told = match untaken < WHOLE_TRIES {
+    let sent = match untaken < WHOLE_TRIES {
         true => {
             let record = (**record).clone();
             links.take_job(address, record, HAND_OVER_TIMEOUT).await
         }
         false => links.find_job(address, id.clone(), HAND_OVER_TIMEOUT).await,
     };
-    told.inspect_err(|e| {
+    sent.inspect_err(|e| {
         log::info!("event=job_untaken job={id} owner={owner} tries={untaken} why=\"{e}\"");
     })
     .ok()
--- a/src/serving/job_upkeep.rs
+++ b/src/serving/job_upkeep.rs
@@ -108,15 +108,15 @@
             actix_rt::time::sleep(STORE_PAUSE).await;
             continue;
         }
-        let answer = context.store.watch(&[&prefix], since, END_WAIT);
-        let answer = tokio::select! {
-            answer = answer => answer,
+        let response = context.store.watch(&[&prefix], since, END_WAIT);
+        let response = tokio::select! {
+            response = response => response,
             () = context.fleet.source_return() => continue,
         };
-        match answer {
-            Ok(answer) => {
-                since = store::ObjectRevision(answer.revision);
-                let ended = answer.changes.iter();
+        match response {
+            Ok(response) => {
+                since = store::ObjectRevision(response.revision);
+                let ended = response.changes.iter();
                 let ended: Vec<_> = ended.filter_map(|c| ended_job(&prefix, c)).collect();
                 context.jobs.record_ended(ended.iter().cloned());
                 for id in &ended {
--- a/src/serving/lent_slots.rs
+++ b/src/serving/lent_slots.rs
@@ -90,8 +90,8 @@
     ask: peers::BatchSlotRequest,
 ) -> Option<Vec<peers::BorrowedSlot>> {
     let number = ask.number;
-    let answer = context.links.lend(address, ask, LATE_LEND_TIMEOUT).await;
-    answer
+    let response = context.links.lend(address, ask, LATE_LEND_TIMEOUT).await;
+    response
         .inspect_err(|e| {
             log::info!("event=lend_failed owner={owner} why=\"{e}\"");
             if *e != peer_links::PeerError::NotSent {
--- a/src/serving/limit_links.rs
+++ b/src/serving/limit_links.rs
@@ -76,8 +76,8 @@
                 return Some(grant(context, &ask));
             }
             let (address, timeout) = self.way_to(&quota_server)?;
-            let answer = context.links.draw_tokens(address, ask, timeout).await;
-            answer
+            let response = context.links.draw_tokens(address, ask, timeout).await;
+            response
                 .inspect_err(|e| {
                     log::info!("event=keeper_silent keeper={quota_server} why=\"{e}\"")
                 })
@@ -247,9 +247,9 @@
 pub(super) fn settle_deposit(
     context: &context::ProcessContext,
     sent: Option<SentDeposit>,
-    answer: &Result<peers::PeerHello, peer_links::PeerError>,
+    response: &Result<peers::PeerHello, peer_links::PeerError>,
 ) {
-    if let (Some(sent), Err(peer_links::PeerError::NotSent)) = (sent, answer) {
+    if let (Some(sent), Err(peer_links::PeerError::NotSent)) = (sent, response) {
         let mut shares = context.shares.borrow_mut();
         shares.put_back(&sent.quota_server, &sent.due);
     }
--- a/src/serving/listener.rs
+++ b/src/serving/listener.rs
@@ -83,8 +83,8 @@
             .h1_allow_half_closed(protection::is_disabled("caller_close"))
             .h1_write_buffer_size(WRITE_BUFFER)
             .finish(move |request: actix_http::Request| {
-                let answer = handler.handle(request);
-                async move { Ok::<_, convert::Infallible>(answer.await) }
+                let response = handler.handle(request);
+                async move { Ok::<_, convert::Infallible>(response.await) }
             });
         let service = match service.new_service(()).await {
             Ok(service) => rc::Rc::new(service),
--- a/src/serving/members.rs
+++ b/src/serving/members.rs
@@ -103,7 +103,7 @@
 #[derive(Debug, Clone)]
 struct PeerState {
     record: MemberRecord,
-    heard: Option<clock::MonotonicTime>,
+    last_seen: Option<clock::MonotonicTime>,
     heartbeat: PeerHeartbeat,
 }
 
@@ -127,7 +127,7 @@
             _ => {
                 let peer = PeerState {
                     record,
-                    heard: None,
+                    last_seen: None,
                     heartbeat: PeerHeartbeat::default(),
                 };
                 self.peers.insert(peer.record.id.clone(), peer);
@@ -163,7 +163,7 @@
     }
 
     /// Notes a heartbeat, and what the process says of itself.
-    pub fn record_heard(
+    pub fn record_heartbeat(
         &mut self,
         id: &ids::InstanceId,
         heartbeat: PeerHeartbeat,
@@ -172,7 +172,7 @@
         let Some(peer) = self.peers.get_mut(id) else {
             return HeardRun::Same;
         };
-        let was_heard = peer.heard.replace(now).is_some();
+        let was_heard = peer.last_seen.replace(now).is_some();
         let before = std::mem::replace(&mut peer.heartbeat, heartbeat);
         match (was_heard, before.run == peer.heartbeat.run) {
             (false, _) => HeardRun::First,
@@ -185,7 +185,8 @@
     /// but for processes that answer: the peer may have just started itself.
     pub fn merge(&mut self, records: Vec<MemberRecord>, now: clock::MonotonicTime) {
         let known: collections::BTreeSet<_> = records.iter().map(|r| r.id.clone()).collect();
-        let recent = |peer: &PeerState| peer.heard.is_some_and(|at| now.since(at) < KEPT_SILENT);
+        let recent =
+            |peer: &PeerState| peer.last_seen.is_some_and(|at| now.since(at) < KEPT_SILENT);
         self.peers
             .retain(|id, peer| known.contains(id) || recent(peer));
         for record in records {
@@ -263,7 +264,7 @@
     /// have the same one.
     pub fn silent_keepers(&self, is_young: bool, now: clock::MonotonicTime) -> Vec<&MemberRecord> {
         let silent = self.peers.values().filter(|peer| {
-            let is_kept = match peer.heard {
+            let is_kept = match peer.last_seen {
                 Some(at) => now.since(at) < KEEPER_SILENCE && !peer.heartbeat.leaving,
                 None => is_young,
             };
@@ -288,7 +289,7 @@
             return true;
         };
         let silence = self.silence(peer.record.role) * 2;
-        peer.heard.is_none_or(|at| now.since(at) > silence)
+        peer.last_seen.is_none_or(|at| now.since(at) > silence)
     }
 
     /// Whether one run of a process has ended: the process is lost, or was heard in
@@ -304,12 +305,14 @@
 
     /// Whether a process ever answered this process.
     pub fn was_heard(&self, id: &ids::InstanceId) -> bool {
-        self.peers.get(id).is_some_and(|peer| peer.heard.is_some())
+        self.peers
+            .get(id)
+            .is_some_and(|peer| peer.last_seen.is_some())
     }
 
     fn is_heard(&self, peer: &PeerState, now: clock::MonotonicTime) -> bool {
         let silence = self.silence(peer.record.role);
-        peer.heard.is_some_and(|at| now.since(at) < silence)
+        peer.last_seen.is_some_and(|at| now.since(at) < silence)
     }
 
     fn is_live(&self, peer: &PeerState, now: clock::MonotonicTime) -> bool {
--- a/src/serving/metrics_page.rs
+++ b/src/serving/metrics_page.rs
@@ -41,12 +41,13 @@
     Ok(())
 }
 
-type PageAnswer = fn(&context::ProcessContext, &actix_http::Request) -> http_server::HttpResponse;
+type PageResponder =
+    fn(&context::ProcessContext, &actix_http::Request) -> http_server::HttpResponse;
 
 fn serve(
     context: &rc::Rc<context::ProcessContext>,
     address: net::SocketAddr,
-    answer: PageAnswer,
+    respond: PageResponder,
 ) -> io::Result<()> {
     let listener = listener::bind(address)?;
     let context = context.clone();
@@ -54,8 +55,8 @@
         let service = actix_http::HttpService::build()
             .keep_alive(actix_http::KeepAlive::Disabled)
             .finish(move |request: actix_http::Request| {
-                let answer = answer(&context, &request);
-                async move { Ok::<_, convert::Infallible>(answer) }
+                let response = respond(&context, &request);
+                async move { Ok::<_, convert::Infallible>(response) }
             })
             .tcp();
         let service = match service.new_service(()).await {
--- a/src/serving/mod.rs
+++ b/src/serving/mod.rs
@@ -57,7 +57,7 @@
 pub mod single_flight;
 pub mod slots;
 pub mod slow_attempt;
-pub mod state_copy;
+pub mod state_snapshot;
 pub mod state_transfer;
 mod suspension;
 pub mod views;
--- a/src/serving/open_job.rs
+++ b/src/serving/open_job.rs
@@ -315,7 +315,7 @@
     pub(super) fn record_backed_up(
         &mut self,
         peer: &ids::InstanceId,
-        told: &[job_checkpoints::ToldItem],
+        sent: &[job_checkpoints::ToldItem],
         outcome: progress_transfer::ToldOutcome,
     ) {
         use progress_transfer::ToldOutcome as O;
@@ -323,16 +323,16 @@
         if self.backup.as_ref() != Some(peer) {
             return;
         }
-        for told in told {
-            let Some(item) = self.items.get_mut(told.index) else {
+        for sent in sent {
+            let Some(item) = self.items.get_mut(sent.index) else {
                 continue;
             };
-            if item.chain != told.chain {
+            if item.chain != sent.chain {
                 continue;
             }
             item.backed_up = match outcome {
-                O::Kept if told.is_result => RESULT_TOLD,
-                O::Kept => told.events,
+                O::Kept if sent.is_result => RESULT_TOLD,
+                O::Kept => sent.events,
                 O::Unfit => 0,
                 O::Unknown => continue,
             };
--- a/src/serving/peer_calls.rs
+++ b/src/serving/peer_calls.rs
@@ -42,8 +42,8 @@
             }
             let context = context.clone();
             actix_rt::spawn(async move {
-                if let Some(answer) = slots::ask_for_peer(&context, ask).await {
-                    reply(sender, answer);
+                if let Some(response) = slots::ask_for_peer(&context, ask).await {
+                    reply(sender, response);
                 }
             });
         }
@@ -118,8 +118,8 @@
             }
             let context = context.clone();
             actix_rt::spawn(async move {
-                if let Some(answer) = limit_links::draw_for_peer(&context, ask).await {
-                    reply(sender, answer);
+                if let Some(response) = limit_links::draw_for_peer(&context, ask).await {
+                    reply(sender, response);
                 }
             });
         }
--- a/src/serving/peer_links.rs
+++ b/src/serving/peer_links.rs
@@ -11,7 +11,7 @@
         BatchSlotRequest, BorrowedSlot, EndpointReport, OnlineSlotRequest, OnlineSlotResponse,
         PeerHello, PeerServiceClient, ResultAsk, SlotRelease, WriteOutcome,
     },
-    permits, progress_transfer, state_copy, wire,
+    permits, progress_transfer, state_snapshot, wire,
     workspaces::limit_messages,
 };
 use crate::{clock, decisions::crash_ledger, ids};
@@ -107,8 +107,8 @@
     context
 }
 
-fn outcome<T>(answer: Result<Option<T>, tarpc::client::RpcError>) -> Result<T, PeerError> {
-    match answer {
+fn outcome<T>(response: Result<Option<T>, tarpc::client::RpcError>) -> Result<T, PeerError> {
+    match response {
         Ok(Some(value)) => Ok(value),
         Err(tarpc::client::RpcError::DeadlineExceeded) => Err(PeerError::TimedOut),
         Ok(None) | Err(_) => Err(PeerError::Unreachable),
@@ -130,8 +130,8 @@
             return;
         };
         actix_rt::spawn(async move {
-            let told = client.$method(within(members::PEER_SILENCE), $argument);
-            if let Err(e) = told.await {
+            let sent = client.$method(within(members::PEER_SILENCE), $argument);
+            if let Err(e) = sent.await {
                 log::debug!(
                     "event=message_lost kind={} why=\"{e}\"",
                     stringify!($method)
@@ -153,8 +153,8 @@
             loop {
                 links.settle($peer).await;
                 if let Some(client) = links.connected($peer) {
-                    let told = client.$method(within(members::PEER_SILENCE), $argument.clone());
-                    match told.await {
+                    let sent = client.$method(within(members::PEER_SILENCE), $argument.clone());
+                    match sent.await {
                         Ok(()) => return,
                         Err(e) => log::debug!(
                             "event=message_lost kind={} why=\"{e}\"",
@@ -239,7 +239,7 @@
     ) -> Result<Vec<crash_ledger::CrashUpdate>, PeerError> {
         let asking = async { call_peer!(self, peer, LIST_TIMEOUT, crashes()) };
         tokio::select! {
-            answer = asking => answer,
+            response = asking => response,
             () = self.silence(peer, silence) => Err(PeerError::TimedOut),
         }
     }
@@ -251,9 +251,9 @@
     pub async fn state_part(
         &self,
         peer: net::SocketAddr,
-        ask: state_copy::StatePartRequest,
+        ask: state_snapshot::StatePartRequest,
         timeout: time::Duration,
-    ) -> Result<state_copy::StatePart, PeerError> {
+    ) -> Result<state_snapshot::StatePart, PeerError> {
         call_peer!(self, peer, timeout, state_part(ask))
     }
 
@@ -266,10 +266,10 @@
         &self,
         peer: net::SocketAddr,
         silence: time::Duration,
-    ) -> Result<directory::DirectoryCopy, PeerError> {
+    ) -> Result<directory::DirectorySnapshot, PeerError> {
         let asking = async { call_peer!(self, peer, LIST_TIMEOUT, endpoints()) };
         tokio::select! {
-            answer = asking => answer,
+            response = asking => response,
             () = self.silence(peer, silence) => Err(PeerError::TimedOut),
         }
     }
--- a/src/serving/peer_server.rs
+++ b/src/serving/peer_server.rs
@@ -13,7 +13,7 @@
         BatchSlotRequest, BorrowedSlot, EndpointReport, OnlineSlotRequest, OnlineSlotResponse,
         PeerCall, PeerHello, PeerService, ResultAsk, SlotRelease, WriteOutcome,
     },
-    progress_transfer, state_copy, wire,
+    progress_transfer, state_snapshot, wire,
     workspaces::limit_messages,
 };
 use crate::{decisions::crash_ledger, ids};
@@ -30,9 +30,9 @@
 impl PeerServer {
     /// Hands a call over and waits for its answer; nothing if the process ends.
     async fn ask<T>(&self, call: impl FnOnce(oneshot::Sender<T>) -> PeerCall) -> Option<T> {
-        let (reply, answer) = oneshot::channel();
+        let (reply, response) = oneshot::channel();
         self.ring.send(call(reply)).await.ok()?;
-        answer.await.ok()
+        response.await.ok()
     }
 
     /// Hands a message over that has no answer.
@@ -67,8 +67,8 @@
     async fn state_part(
         self,
         _: tarpc::context::Context,
-        ask: state_copy::StatePartRequest,
-    ) -> Option<state_copy::StatePart> {
+        ask: state_snapshot::StatePartRequest,
+    ) -> Option<state_snapshot::StatePart> {
         self.ask(|reply| PeerCall::StatePart(ask, reply)).await
     }
 
@@ -80,7 +80,7 @@
         self.ask(PeerCall::Crashes).await
     }
 
-    async fn endpoints(self, _: tarpc::context::Context) -> Option<directory::DirectoryCopy> {
+    async fn endpoints(self, _: tarpc::context::Context) -> Option<directory::DirectorySnapshot> {
         self.ask(PeerCall::Endpoints).await
     }
 
@@ -195,8 +195,8 @@
     let transport = tarpc::serde_transport::new(frames().new_framed(socket), codec);
     tarpc::server::BaseChannel::with_defaults(transport)
         .execute(server.serve())
-        .for_each(|answer| async {
-            actix_rt::spawn(answer);
+        .for_each(|response| async {
+            actix_rt::spawn(response);
         })
         .await;
 }
--- a/src/serving/peers.rs
+++ b/src/serving/peers.rs
@@ -7,7 +7,7 @@
 use tokio::sync::oneshot;
 
 use super::{
-    directory, job_records, members, progress_transfer, route_table, state_copy, wire,
+    directory, job_records, members, progress_transfer, route_table, state_snapshot, wire,
     workspaces::limit_messages,
 };
 use crate::{
@@ -177,9 +177,10 @@
     /// Asks for all that the peer knows of such requests.
     async fn crashes() -> Option<Vec<crash_ledger::CrashUpdate>>;
     /// Asks for a part of the desired state.
-    async fn state_part(ask: state_copy::StatePartRequest) -> Option<state_copy::StatePart>;
+    async fn state_part(ask: state_snapshot::StatePartRequest)
+        -> Option<state_snapshot::StatePart>;
     /// Asks for the list of endpoints.
-    async fn endpoints() -> Option<directory::DirectoryCopy>;
+    async fn endpoints() -> Option<directory::DirectorySnapshot>;
     /// Asks for the processes that the peer knows.
     async fn members() -> Option<Vec<members::MemberRecord>>;
     /// Hands a job over; the answer says whether it is done already.
@@ -226,11 +227,11 @@
     Crashes(oneshot::Sender<Vec<crash_ledger::CrashUpdate>>),
     /// See [`PeerService::state_part`].
     StatePart(
-        state_copy::StatePartRequest,
-        oneshot::Sender<state_copy::StatePart>,
+        state_snapshot::StatePartRequest,
+        oneshot::Sender<state_snapshot::StatePart>,
     ),
     /// See [`PeerService::endpoints`].
-    Endpoints(oneshot::Sender<directory::DirectoryCopy>),
+    Endpoints(oneshot::Sender<directory::DirectorySnapshot>),
     /// See [`PeerService::members`].
     Members(oneshot::Sender<Vec<members::MemberRecord>>),
     /// See [`PeerService::take_job`].
--- a/src/serving/progress_transfer.rs
+++ b/src/serving/progress_transfer.rs
@@ -7,7 +7,7 @@
 
 use std::{cell, collections, net, rc, time};
 
-use super::{context, job_checkpoints, open_job, peer_links, state_copy};
+use super::{context, job_checkpoints, open_job, peer_links, state_snapshot};
 use crate::{clock, ids};
 
 /// Longest wait for the answer to a part: 8 KB take 2 ms of a link of 30 Mbit/s,
@@ -56,11 +56,11 @@
 pub fn cut(progress: &job_checkpoints::JobCheckpoint) -> Result<Vec<ProgressPart>, String> {
     let encoded = postcard::to_stdvec(progress).map_err(|e| e.to_string())?;
     let transfer = rand::random();
-    let chunks = encoded.chunks(state_copy::PART_BYTES).enumerate();
+    let chunks = encoded.chunks(state_snapshot::PART_BYTES).enumerate();
     let parts = chunks.map(|(number, bytes)| ProgressPart {
         job: progress.job.clone(),
         transfer,
-        offset: number * state_copy::PART_BYTES,
+        offset: number * state_snapshot::PART_BYTES,
         total: encoded.len(),
         bytes: bytes.to_vec(),
     });
@@ -167,8 +167,11 @@
 ) -> ToldOutcome {
     let parts = match cut(progress) {
         Ok(parts) => parts,
-        Err(why) => {
-            log::error!("event=progress_untold job={} why=\"{why}\"", progress.job);
+        Err(reason) => {
+            log::error!(
+                "event=progress_untold job={} why=\"{reason}\"",
+                progress.job
+            );
             return ToldOutcome::Unknown;
         }
     };
@@ -199,9 +202,9 @@
     let mut tries = 1;
     loop {
         links.reach(peer, REACH_TIMEOUT).await;
-        let told = links.keep_progress(peer, part.clone(), PART_TIMEOUT).await;
-        if told.is_ok() || tries >= PART_TRIES {
-            return told;
+        let sent = links.keep_progress(peer, part.clone(), PART_TIMEOUT).await;
+        if sent.is_ok() || tries >= PART_TRIES {
+            return sent;
         }
         tries += 1;
     }
@@ -275,11 +278,11 @@
     if update.items.is_empty() {
         return;
     }
-    let told: Vec<_> = update
+    let sent: Vec<_> = update
         .items
         .iter()
         .map(job_checkpoints::ToldItem::of)
         .collect();
     let outcome = tell(&context.links, address, &update).await;
-    job.borrow_mut().record_backed_up(peer, &told, outcome);
+    job.borrow_mut().record_backed_up(peer, &sent, outcome);
 }
--- a/src/serving/ready_items.rs
+++ b/src/serving/ready_items.rs
@@ -177,10 +177,10 @@
     context: &rc::Rc<context::ProcessContext>,
     job: &open_job::SharedJob,
     index: usize,
-    why: &str,
+    reason: &str,
 ) {
     let id = job.borrow().record.items[index].id.clone();
-    log::info!("event=item_given_up item={id} why=\"{why}\"");
+    log::info!("event=item_given_up item={id} why=\"{reason}\"");
     context
         .metrics
         .batch_items
--- a/src/serving/relay.rs
+++ b/src/serving/relay.rs
@@ -109,9 +109,9 @@
         false => relay.full_response().await,
     };
     match outcome {
-        Ok(Served::Whole(answer)) => {
-            relay.record_end(ANSWERED, answer.status().as_u16());
-            answer
+        Ok(Served::Whole(response)) => {
+            relay.record_end(ANSWERED, response.status().as_u16());
+            response
         }
         Ok(Served::Stream(head, stream)) => relay.into_stream(head, stream),
         Err(e) => relay.refuse(&e),
@@ -184,9 +184,9 @@
             };
             match read {
                 Ok(body) => {
-                    let answer = self.whole(&answered.open.incoming.head, body);
+                    let response = self.whole(&answered.open.incoming.head, body);
                     self.give_back(answered);
-                    return Ok(Served::Whole(answer));
+                    return Ok(Served::Whole(response));
                 }
                 Err(e) => {
                     self.record_broken(&answered.slot, "cut", &e.to_string());
@@ -206,15 +206,15 @@
         head: &actix_http::ResponseHead,
         body: bytes::Bytes,
     ) -> http_server::HttpResponse {
-        let mut answer = actix_http::Response::build(head.status);
-        answer_copy::copy_headers(&self.context, head, &mut answer);
-        self.mark_close(&mut answer);
-        answer.body(body).map_into_boxed_body()
+        let mut response = actix_http::Response::build(head.status);
+        answer_copy::copy_headers(&self.context, head, &mut response);
+        self.mark_close(&mut response);
+        response.body(body).map_into_boxed_body()
     }
 
-    pub(super) fn mark_close(&self, answer: &mut actix_http::ResponseBuilder) {
+    pub(super) fn mark_close(&self, response: &mut actix_http::ResponseBuilder) {
         if self.context.is_stopping() {
-            answer.force_close();
+            response.force_close();
         }
     }
 
@@ -230,10 +230,10 @@
     }
 
     pub(super) fn observe_first(&self) {
-        let span = self.request.arrived.elapsed();
-        self.first_event.set(Some(span));
+        let duration = self.request.arrived.elapsed();
+        self.first_event.set(Some(duration));
         let metrics = &self.context.metrics;
-        metrics.observe(&metrics.first_token, self.series(), self.label(), span);
+        metrics.observe(&metrics.first_token, self.series(), self.label(), duration);
     }
 
     /// Whose series of metrics it counts in: those of its workspace, or of its route.
@@ -253,7 +253,7 @@
             crash_guard::record_served(&self.context, self.request.forwarded.digest);
         }
         let metrics = &self.context.metrics;
-        metrics.answers.with_label_values(&[outcome]).inc();
+        metrics.responses.with_label_values(&[outcome]).inc();
         metrics.observe(&metrics.full_response, self.series(), self.label(), spent);
         log::info!(
             "event=request_end request={} digest={} workspace={} route={} version={} outcome={outcome} status={status} ms={} first_ms={} objective_ms={} ran={} not_run={} endpoint={} last_event={}",
@@ -289,15 +289,15 @@
             }
         }
         self.record_end(outcome, status.as_u16());
-        let mut answer = actix_http::Response::build(status);
-        self.mark_close(&mut answer);
-        if let FinalError::NotRun(pause, _) | FinalError::Held(pause) = error {
-            answer.insert_header((header::RETRY_AFTER, format!("{:.2}", pause.as_secs_f64())));
+        let mut response = actix_http::Response::build(status);
+        self.mark_close(&mut response);
+        if let FinalError::NotRun(delay, _) | FinalError::Held(delay) = error {
+            response.insert_header((header::RETRY_AFTER, format!("{:.2}", delay.as_secs_f64())));
         }
         let told = match error {
             FinalError::Held(_) => HELD_BODY,
             _ => outcome,
         };
-        answer.body(told).map_into_boxed_body()
+        response.body(told).map_into_boxed_body()
     }
 }
--- a/src/serving/request_admission.rs
+++ b/src/serving/request_admission.rs
@@ -126,11 +126,11 @@
 
 fn refused(
     status: StatusCode,
-    pause: time::Duration,
+    delay: time::Duration,
     body: impl Into<String>,
 ) -> http_server::HttpResponse {
     actix_http::Response::build(status)
-        .insert_header((header::RETRY_AFTER, format!("{:.2}", pause.as_secs_f64())))
+        .insert_header((header::RETRY_AFTER, format!("{:.2}", delay.as_secs_f64())))
         .body(body.into())
         .map_into_boxed_body()
 }
@@ -156,18 +156,18 @@
     let source = limit_links::LinkedSource::new(context);
     let clock = context.clock.as_ref();
     let verdict = context.limiter.admit(&spec.id, &source, clock).await;
-    let (reason, status, pause) = match verdict {
+    let (reason, status, delay) = match verdict {
         limiter::LimitVerdict::Admitted => {
             return Ok(Some(SpentToken {
                 context: context.clone(),
                 workspace: spec.id.clone(),
             }))
         }
-        limiter::LimitVerdict::Exceeded(pause) => {
-            ("rate_limited", StatusCode::TOO_MANY_REQUESTS, pause)
+        limiter::LimitVerdict::Exceeded(delay) => {
+            ("rate_limited", StatusCode::TOO_MANY_REQUESTS, delay)
         }
-        limiter::LimitVerdict::Unchecked(pause) => {
-            ("limit_unchecked", StatusCode::SERVICE_UNAVAILABLE, pause)
+        limiter::LimitVerdict::Unchecked(delay) => {
+            ("limit_unchecked", StatusCode::SERVICE_UNAVAILABLE, delay)
         }
     };
     let rejected = &context.metrics.rejected;
@@ -177,13 +177,13 @@
         terms.id.as_deref().unwrap_or("-"),
         spec.id,
         context.fleet.table().version(),
-        pause.as_millis()
+        delay.as_millis()
     );
     let body = match status {
         StatusCode::TOO_MANY_REQUESTS => format!("rate limit of {limit} exceeded\n"),
         _ => "the rate limit cannot be checked now\n".to_owned(),
     };
-    Err(refused(status, pause, body))
+    Err(refused(status, delay, body))
 }
 
 /// Digits of a workspace in the names of its jobs.
--- a/src/serving/search_pace.rs
+++ b/src/serving/search_pace.rs
@@ -31,8 +31,8 @@
 impl SearchPace {
     /// The next pause.
     pub fn next_delay(&mut self) -> time::Duration {
-        let pause = self.next;
-        self.next = (pause * 2).min(MAX_DELAY);
-        pause
+        let delay = self.next;
+        self.next = (delay * 2).min(MAX_DELAY);
+        delay
     }
 }
--- a/src/serving/slots.rs
+++ b/src/serving/slots.rs
@@ -323,7 +323,7 @@
         .acquire(relay.address, ask, OWNER_TIMEOUT * 2)
         .await
     {
-        Ok(answer) => take_answer(context, &relay.id, answer, permit),
+        Ok(response) => take_answer(context, &relay.id, response, permit),
         Err(e) => {
             log::info!("event=relay_silent relay={} why=\"{e}\"", relay.id);
             end_permit(context, &permit, false);
@@ -344,12 +344,12 @@
     for owner in owners.iter().take(OWNERS_ASKED) {
         let address = context.members.borrow().address_of(owner);
         let Some(address) = address else { continue };
-        let answer = context
+        let response = context
             .links
             .acquire(address, ask.clone(), OWNER_TIMEOUT)
             .await;
-        match answer {
-            Ok(answer) if answer.endpoint.is_some() => {
+        match response {
+            Ok(response) if response.endpoint.is_some() => {
                 let permit = HeldPermit::Peer(address, number);
                 if context.permits.borrow_mut().take_returned(number) {
                     // The peer gave up waiting before the owner answered.
@@ -357,7 +357,7 @@
                     return None;
                 }
                 context.relayed.borrow_mut().put(number, address);
-                return Some(answer);
+                return Some(response);
             }
             Ok(_) => {}
             Err(_) => end_permit(context, &HeldPermit::Peer(address, number), false),
@@ -373,14 +373,14 @@
 ) -> OwnerReply {
     let number = ask.number;
     let service = &ask.service.clone();
-    let (answer, permit) = if owner == context.id() {
+    let (response, permit) = if owner == context.id() {
         (peer_calls::grant(context, &ask), HeldPermit::Here(number))
     } else {
         let Some(address) = context.members.borrow().address_of(owner) else {
             return OwnerReply::None(SlotReply::Silent);
         };
         match context.links.acquire(address, ask, OWNER_TIMEOUT).await {
-            Ok(answer) => (answer, HeldPermit::Peer(address, number)),
+            Ok(response) => (response, HeldPermit::Peer(address, number)),
             Err(e) => {
                 count_permit(context, "silent");
                 set_free_slots(context, owner, service, 0);
@@ -391,18 +391,18 @@
             }
         }
     };
-    if !answer.owns {
+    if !response.owns {
         count_permit(context, "not_owner");
         let key = (owner.clone(), service.clone());
         context.free_slots.borrow_mut().remove(&key);
         return OwnerReply::None(SlotReply::NotOwner);
     }
-    set_free_slots(context, owner, service, answer.free_slots);
-    if answer.endpoint.is_none() {
+    set_free_slots(context, owner, service, response.free_slots);
+    if response.endpoint.is_none() {
         count_permit(context, "full");
-        return OwnerReply::None(SlotReply::Full(answer.free_queue_slots));
+        return OwnerReply::None(SlotReply::Full(response.free_queue_slots));
     }
-    match take_answer(context, owner, answer, permit) {
+    match take_answer(context, owner, response, permit) {
         Some(slot) => OwnerReply::Slot(slot),
         None => OwnerReply::None(SlotReply::Silent),
     }
@@ -426,10 +426,10 @@
 fn take_answer(
     context: &rc::Rc<context::ProcessContext>,
     from: &ids::InstanceId,
-    answer: peers::OnlineSlotResponse,
+    response: peers::OnlineSlotResponse,
     permit: HeldPermit,
 ) -> Option<HeldSlot> {
-    let id = answer.endpoint?;
+    let id = response.endpoint?;
     let found = context.fleet.directory.borrow().usable(&id).cloned();
     let Some(endpoint) = found else {
         log::info!("event=place_refused endpoint={id} from={from} why=\"not listed here\"");
--- a/src/serving/slow_attempt.rs
+++ b/src/serving/slow_attempt.rs
@@ -60,11 +60,11 @@
 impl relay::RequestRelay {
     /// Time after which an endpoint is taken for slow; none if no other may go on.
     fn slow_after(&self, awaited: Awaited) -> Option<time::Duration> {
-        let (span, share) = match awaited {
+        let (duration, share) = match awaited {
             Awaited::NextEvent => (self.request.route.gap_objective?, GAP_SHARE),
             _ => (self.request.route.objective, SILENCE_SHARE),
         };
-        self.may_move(awaited).then(|| span.mul_f64(share))
+        self.may_move(awaited).then(|| duration.mul_f64(share))
     }
 
     /// Whether one more attempt may run beside what ran so far.
@@ -264,7 +264,7 @@
     /// The next place, whenever there is one.
     async fn next_slot(&mut self, relay: &relay::RequestRelay) -> FoundSlot {
         loop {
-            Self::pause(relay).await;
+            Self::delay(relay).await;
             let Some(slot) = self.ask(relay).await else {
                 // Those that refused or failed may take it in the next round.
                 self.passed_over = vec![self.slow.clone()];
@@ -278,7 +278,7 @@
     /// Pauses, but before the first place that is asked for in a run.
     ///
     /// A run that is slow at each event brings its answer: it asks no more often.
-    async fn pause(relay: &relay::RequestRelay) {
+    async fn delay(relay: &relay::RequestRelay) {
         let Some(mut pace) = relay.log.slow_pace.get() else {
             relay
                 .log
@@ -286,9 +286,9 @@
                 .set(Some(search_pace::SearchPace::default()));
             return;
         };
-        let pause = pace.next_delay().min(relay.left());
+        let delay = pace.next_delay().min(relay.left());
         relay.log.slow_pace.set(Some(pace));
-        tokio::time::sleep(pause).await;
+        tokio::time::sleep(delay).await;
     }
 
     /// Asks once. An answer that comes too late is taken, and its place given back.
--- a/src/serving/state_copy.rs
+++ b/src/serving/state_snapshot.rs
@@ -137,12 +137,12 @@
 /// A transfer that has begun is brought to its end with the copy that it began
 /// with: where versions come faster than transfers end, none would end else.
 #[derive(Debug, Default)]
-pub struct CopyShelf {
+pub struct SnapshotCache {
     /// The most recently used last.
     copies: cell::RefCell<collections::VecDeque<StateCopy>>,
 }
 
-impl CopyShelf {
+impl SnapshotCache {
     /// The part that was asked for, or the first one of the newest state.
     ///
     /// # Errors
@@ -204,14 +204,14 @@
 ///
 /// Invariant: `bytes` are the first bytes of `copy`, and not all of them.
 #[derive(Debug, Default)]
-pub struct IncomingState {
+pub struct IncomingSnapshot {
     copy: Option<CopyId>,
     bytes: Vec<u8>,
 }
 
-impl IncomingState {
+impl IncomingSnapshot {
     /// What to ask for next.
-    pub fn next_ask(&self) -> StatePartRequest {
+    pub fn next_request(&self) -> StatePartRequest {
         match self.copy {
             Some(copy) => StatePartRequest::Next(copy, self.bytes.len()),
             None => StatePartRequest::First,
--- a/src/serving/state_transfer.rs
+++ b/src/serving/state_transfer.rs
@@ -9,7 +9,7 @@
 
 use rand::seq::IndexedRandom as _;
 
-use super::{context, fleet_source, peer_links, single_flight, state_copy};
+use super::{context, fleet_source, peer_links, single_flight, state_snapshot};
 use crate::clock;
 
 /// Longest wait for a part; it takes 2 ms of a link of 30 Mbit/s, and 270 ms of
@@ -29,8 +29,8 @@
 #[derive(Debug, Default)]
 pub struct StateTransfer {
     /// Copies for peers.
-    pub shelf: state_copy::CopyShelf,
-    incoming: cell::RefCell<state_copy::IncomingState>,
+    pub shelf: state_snapshot::SnapshotCache,
+    incoming: cell::RefCell<state_snapshot::IncomingSnapshot>,
     flight: single_flight::SingleFlight,
 }
 
@@ -80,7 +80,7 @@
 }
 
 impl TransferRun {
-    fn incoming(&self) -> cell::RefMut<'_, state_copy::IncomingState> {
+    fn incoming(&self) -> cell::RefMut<'_, state_snapshot::IncomingSnapshot> {
         self.context.state_transfer.incoming.borrow_mut()
     }
 
@@ -97,7 +97,7 @@
     async fn step(&mut self, peer: net::SocketAddr) -> NextStep {
         let links = self.context.links.clone();
         links.settle(peer).await;
-        let ask = self.incoming().next_ask();
+        let ask = self.incoming().next_request();
         let asked = clock::BootInstant::now();
         match links.state_part(peer, ask, PART_TIMEOUT).await {
             Ok(part) => self.take_part(peer, part, asked.elapsed()),
@@ -108,10 +108,10 @@
     fn take_part(
         &mut self,
         peer: net::SocketAddr,
-        part: state_copy::StatePart,
+        part: state_snapshot::StatePart,
         took: time::Duration,
     ) -> NextStep {
-        use state_copy::PartOutcome as O;
+        use state_snapshot::PartOutcome as O;
 
         self.count("state_taken", part.bytes.len());
         if part.copy.version <= self.context.fleet.table().version() {
@@ -147,7 +147,7 @@
     fn take_whole(
         &self,
         peer: net::SocketAddr,
-        copy: state_copy::CopyId,
+        copy: state_snapshot::CopyId,
         state: super::route_table::DesiredState,
     ) {
         log::info!(
@@ -163,7 +163,7 @@
 
     /// A part of another copy: goes back to the peer that has the copy that is
     /// coming in; if there is none, the other copy is taken.
-    fn take_other(&mut self, peer: net::SocketAddr, part: state_copy::StatePart) -> NextStep {
+    fn take_other(&mut self, peer: net::SocketAddr, part: state_snapshot::StatePart) -> NextStep {
         if let Some(source) = self.source.filter(|source| *source != peer) {
             self.keeps_source = true;
             return NextStep::From(source);
@@ -175,7 +175,7 @@
         self.restarts += 1;
         let added = self.incoming().add(part);
         match added {
-            state_copy::PartOutcome::Added => {
+            state_snapshot::PartOutcome::Added => {
                 self.record_part(peer);
                 NextStep::From(peer)
             }
@@ -184,9 +184,9 @@
     }
 
     /// Goes on with another peer, if there is one.
-    fn pass_over(&mut self, peer: net::SocketAddr, why: peer_links::PeerError) -> NextStep {
+    fn pass_over(&mut self, peer: net::SocketAddr, reason: peer_links::PeerError) -> NextStep {
         self.count("state_missing", 0);
-        log::info!("event=peer_state_missing peer={peer} why=\"{why}\"");
+        log::info!("event=peer_state_missing peer={peer} why=\"{reason}\"");
         self.failures += 1;
         if self.source == Some(peer) {
             self.source = None;
--- a/src/serving/suspension.rs
+++ b/src/serving/suspension.rs
@@ -18,8 +18,10 @@
     let mut gauge = clock::SuspensionGauge::default();
     loop {
         actix_rt::time::sleep(POLL_INTERVAL).await;
-        let Some(span) = gauge.take() else { continue };
-        log::warn!("event=suspended ms={}", span.as_millis());
+        let Some(duration) = gauge.take() else {
+            continue;
+        };
+        log::warn!("event=suspended ms={}", duration.as_millis());
         context.wakes.send_modify(|count| *count += 1);
         // Watches that were under way may have ended at the store without a word.
         context.fleet.take(fleet_source::FleetUpdate::Returned);
--- a/src/serving/views.rs
+++ b/src/serving/views.rs
@@ -62,23 +62,23 @@
             actix_rt::time::sleep(MEMBER_RETRY).await;
             continue;
         }
-        let answer = context.store.watch(&[&prefix], since, MEMBER_WAIT);
-        let answer = tokio::select! {
-            answer = answer => answer,
+        let response = context.store.watch(&[&prefix], since, MEMBER_WAIT);
+        let response = tokio::select! {
+            response = response => response,
             () = context.fleet.source_return() => continue,
         };
-        match answer {
-            Ok(answer) => {
+        match response {
+            Ok(response) => {
                 let is_first = since.0 == 0;
-                since = store::ObjectRevision(answer.revision);
+                since = store::ObjectRevision(response.revision);
                 context.members_known.set(true);
-                take_members(&context, &prefix, answer.changes);
+                take_members(&context, &prefix, response.changes);
                 context.members_news.notify_one();
-                let pause = match is_first {
+                let delay = match is_first {
                     true => FIRST_WATCH_PAUSE,
                     false => NEXT_WATCH_PAUSE,
                 };
-                actix_rt::time::sleep(pause).await;
+                actix_rt::time::sleep(delay).await;
             }
             Err(e) => {
                 log::info!("event=members_unread why=\"{e}\"");
@@ -195,12 +195,12 @@
     context.links.settle(record.address).await;
     let mut hello = context.hello();
     let deposit = limit_links::add_deposit(&context, &record.id, &mut hello);
-    let answer = context
+    let response = context
         .links
         .probe(record.address, hello, PROBE_TIMEOUT)
         .await;
-    limit_links::settle_deposit(&context, deposit, &answer);
-    match answer {
+    limit_links::settle_deposit(&context, deposit, &response);
+    match response {
         Ok(hello) if hello.id == record.id => {
             limit_links::record_stamp(&context, &hello);
             hear(&context, &hello);
@@ -239,7 +239,7 @@
 }
 
 fn hear(context: &context::ProcessContext, hello: &peers::PeerHello) {
-    let heard = record_heard(context, hello);
+    let heard = record_heartbeat(context, hello);
     if heard == members::HeardRun::Next {
         log::info!("event=peer_restarted peer={} run={}", hello.id, hello.run);
     }
@@ -249,7 +249,10 @@
 }
 
 /// Takes what a peer says of itself.
-fn record_heard(context: &context::ProcessContext, hello: &peers::PeerHello) -> members::HeardRun {
+fn record_heartbeat(
+    context: &context::ProcessContext,
+    hello: &peers::PeerHello,
+) -> members::HeardRun {
     let now = context.clock.now();
     let heartbeat = members::PeerHeartbeat {
         run: hello.run,
@@ -259,7 +262,7 @@
         version: hello.version,
     };
     let mut members = context.members.borrow_mut();
-    let heard = members.record_heard(&hello.id, heartbeat, now);
+    let heard = members.record_heartbeat(&hello.id, heartbeat, now);
     let mut free_slots = context.free_slots.borrow_mut();
     free_slots.retain(|(id, _), _| *id != hello.id);
     for (service, count) in &hello.free_slots {
--- a/src/serving/workspaces/limiter.rs
+++ b/src/serving/workspaces/limiter.rs
@@ -166,7 +166,7 @@
                 let workspace = workspace.clone();
                 let asked_at = clock.now();
                 let ask = source.ask(quota_server, limit_messages::GrantAsk { workspace, wanted });
-                asks.push(ask.map(move |answer| (answer, asked_at)));
+                asks.push(ask.map(move |response| (response, asked_at)));
             }
             if asks.is_empty() {
                 return Err(denial);
@@ -174,7 +174,7 @@
             let is_last = quota_servers.len() == 0;
             tokio::select! {
                 biased;
-                Some((answer, asked_at)) = asks.next() => match answer {
+                Some((response, asked_at)) = asks.next() => match response {
                     Some(limit_messages::GrantAnswer::Tokens(count)) => {
                         self.cache.borrow_mut().put(workspace, count, asked_at);
                         return Ok(());
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -13,13 +13,13 @@
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub enum SettingsError {
     /// The file cannot be read.
-    #[error("the settings file {file} cannot be read: {why}")]
+    #[error("the settings file {file} cannot be read: {reason}")]
     #[diagnostic(code(jayhollow::settings::unreadable))]
     Unreadable {
         /// The file.
         file: String,
         /// What the system says.
-        why: String,
+        reason: String,
     },
     /// A key or a value is wrong.
     #[error("in the settings file {file}, at '{key}': {found}")]
@@ -51,7 +51,7 @@
     let name = file.display().to_string();
     let text = fs::read_to_string(file).map_err(|e| SettingsError::Unreadable {
         file: name.clone(),
-        why: e.to_string(),
+        reason: e.to_string(),
     })?;
     parse(&name, &text)
 }
--- a/src/settle.rs
+++ b/src/settle.rs
@@ -23,14 +23,14 @@
 /// A pause that doubles, with jitter so that a fleet does not return as a herd.
 #[derive(Debug, Clone)]
 pub struct JitteredBackoff {
-    pause: time::Duration,
+    delay: time::Duration,
     last: time::Duration,
 }
 
 impl Default for JitteredBackoff {
     fn default() -> Self {
         Self {
-            pause: INITIAL_DELAY,
+            delay: INITIAL_DELAY,
             last: MAX_DELAY,
         }
     }
@@ -39,9 +39,9 @@
 impl JitteredBackoff {
     /// The next pause: between half and all of a span that doubles each time.
     pub fn next_delay(&mut self) -> time::Duration {
-        let span = self.pause;
-        self.pause = (self.pause * 2).min(self.last);
-        span.mul_f64(rand::rng().random_range(0.5..1.0))
+        let duration = self.delay;
+        self.delay = (self.delay * 2).min(self.last);
+        duration.mul_f64(rand::rng().random_range(0.5..1.0))
     }
 }
 
@@ -87,15 +87,15 @@
                 _ => {}
             }
         }
-        let pause = backoff.next_delay();
-        if time::Instant::now() + pause >= deadline {
+        let delay = backoff.next_delay();
+        if time::Instant::now() + delay >= deadline {
             // A refusal of the last try says nothing of the ones before.
             return Err(match may_have_taken_effect {
                 true => store::StoreError::Unknown,
                 false => error,
             });
         }
-        actix_rt::time::sleep(pause).await;
+        actix_rt::time::sleep(delay).await;
     }
 }
 
--- a/src/smoke.rs
+++ b/src/smoke.rs
@@ -19,7 +19,7 @@
 /// A call went wrong.
 pub fn run(fleet: &local_fleet::LocalFleet) -> cli::CommandResult<()> {
     actix_rt::System::new().block_on(async {
-        let client = client::ApiClient::new(&fleet.reach(local_fleet::CALLER_KEY));
+        let client = client::ApiClient::new(&fleet.profile(local_fleet::CALLER_KEY));
         let mut all_right = true;
         all_right &= report("online", whole(&client)).await;
         all_right &= report("stream", stream(&client)).await;
@@ -75,10 +75,10 @@
 
 async fn whole(client: &client::ApiClient) -> cli::CommandResult<String> {
     let content = "a cover note for a parcel";
-    let answer = client
+    let response = client
         .post("/v1/chat/completions", request(content, false))
         .await?;
-    let text = answer["choices"][0]["message"]["content"]
+    let text = response["choices"][0]["message"]["content"]
         .as_str()
         .unwrap_or_default();
     compare(text, &expected_response(content, TOKENS))?;
@@ -119,11 +119,11 @@
 
 async fn plain(client: &client::ApiClient) -> cli::CommandResult<String> {
     let path = format!("/services/{}/check", local_fleet::SERVICE);
-    let answer = client
+    let response = client
         .post(&path, b"Vitosha Blvd 1, Sofia".to_vec())
         .await?;
     compare(
-        answer["echo"].as_str().unwrap_or_default(),
+        response["echo"].as_str().unwrap_or_default(),
         "Vitosha Blvd 1, Sofia",
     )?;
     Ok("echoed".into())
--- a/src/standin/engine.rs
+++ b/src/standin/engine.rs
@@ -45,8 +45,8 @@
     async fn run_steps(self) {
         loop {
             if self.state.borrow().model.is_idle() || self.state.borrow().faults.freeze {
-                let pause = time::Duration::from_millis(20);
-                let _ = actix_rt::time::timeout(pause, self.work.notified()).await;
+                let delay = time::Duration::from_millis(20);
+                let _ = actix_rt::time::timeout(delay, self.work.notified()).await;
                 self.state.borrow_mut().update_report(0);
                 continue;
             }
@@ -74,11 +74,11 @@
                     self.state.borrow_mut().faults = faults;
                     http_server::plain(StatusCode::OK, "set")
                 }
-                Err(answer) => answer,
+                Err(response) => response,
             },
             (Method::POST, "/orders") => match super::read_json(&mut request).await {
                 Ok(order) => self.state.borrow_mut().take_order(order),
-                Err(answer) => answer,
+                Err(response) => response,
             },
             (Method::GET, "/orders") => {
                 http_server::json(StatusCode::OK, &self.state.borrow().order)
@@ -94,7 +94,7 @@
                     let blocks = self.state.borrow().model.export(&query.prompt);
                     http_server::json(StatusCode::OK, &KvBlocks { blocks })
                 }
-                Err(answer) => answer,
+                Err(response) => response,
             },
             (Method::POST, "/kv/import") => {
                 match super::read_json::<KvBlocks>(&mut request).await {
@@ -102,7 +102,7 @@
                         self.state.borrow_mut().model.import(&kv.blocks);
                         http_server::plain(StatusCode::OK, "imported")
                     }
-                    Err(answer) => answer,
+                    Err(response) => response,
                 }
             }
             (Method::GET, "/effects") => {
@@ -144,7 +144,7 @@
         let chat = wire::is_chat(request.path());
         let body: engine_state::EngineRequest = match super::read_json(request).await {
             Ok(body) => body,
-            Err(answer) => return answer,
+            Err(response) => return response,
         };
         if self.state.borrow().faults.refuse {
             return refused();
@@ -208,13 +208,13 @@
         }
     }
     let count = engine_model::token_count(&prompt);
-    let answer = wire::full_response(chat, "gen-0", model, &text, count);
-    let mut answer = http_server::json(StatusCode::OK, &answer);
+    let response = wire::full_response(chat, "gen-0", model, &text, count);
+    let mut response = http_server::json(StatusCode::OK, &response);
     if let Ok(value) = sender_name.parse() {
         let name = actix_http::header::HeaderName::from_static(wire::ATTEMPT_HEADER);
-        answer.headers_mut().insert(name, value);
+        response.headers_mut().insert(name, value);
     }
-    answer
+    response
 }
 
 fn refused() -> http_server::HttpResponse {
--- a/src/standin/objects.rs
+++ b/src/standin/objects.rs
@@ -170,7 +170,7 @@
     }
 
     fn list(&self, prefix: &str, after: &str) -> platform::ListResponse {
-        let mut answer = platform::ListResponse::default();
+        let mut response = platform::ListResponse::default();
         let mut size = 0;
         let range = self.objects.range(prefix.to_owned()..);
         for (key, object) in range.take_while(|(key, _)| key.starts_with(prefix)) {
@@ -178,17 +178,17 @@
                 continue;
             }
             size += object.value.len();
-            if answer.items.len() >= PAGE_ITEMS || size > PAGE_BYTES {
-                answer.more = true;
+            if response.items.len() >= PAGE_ITEMS || size > PAGE_BYTES {
+                response.more = true;
                 break;
             }
-            answer.items.push(platform::ObjectChange {
+            response.items.push(platform::ObjectChange {
                 key: key.clone(),
                 revision: object.revision,
                 value: Some(String::from_utf8_lossy(&object.value).into_owned()),
             });
         }
-        answer
+        response
     }
 }
 
@@ -255,7 +255,7 @@
         if !self.table.borrow_mut().admit(write, second) {
             return http_server::plain(StatusCode::TOO_MANY_REQUESTS, "rate");
         }
-        let answer = match path.as_str() {
+        let response = match path.as_str() {
             "/watch" => self.watch(&request).await,
             "/list" => self.list(&request),
             "/endpoints" => self.endpoints(&request),
@@ -264,10 +264,10 @@
                 None => http_server::plain(StatusCode::NOT_FOUND, "no such path"),
             },
         };
-        if let body::BodySize::Sized(bytes) = answer.body().size() {
+        if let body::BodySize::Sized(bytes) = response.body().size() {
             self.table.borrow_mut().stats.sent_bytes += bytes;
         }
-        answer
+        response
     }
 
     fn stats(&self) -> ObjectStats {
@@ -284,7 +284,7 @@
                 self.table.borrow_mut().faults = faults;
                 http_server::plain(StatusCode::OK, "set")
             }
-            Err(answer) => answer,
+            Err(response) => response,
         }
     }
 
@@ -297,7 +297,7 @@
                 table.endpoints_revision += 1;
                 http_server::plain(StatusCode::OK, "set")
             }
-            Err(answer) => answer,
+            Err(response) => response,
         }
     }
 
@@ -324,8 +324,8 @@
     fn list(&self, request: &actix_http::Request) -> http_server::HttpResponse {
         let prefix = http_server::query(request.uri(), "prefix").unwrap_or_default();
         let after = http_server::query(request.uri(), "after").unwrap_or_default();
-        let answer = self.table.borrow().list(&prefix, &after);
-        http_server::json(StatusCode::OK, &answer)
+        let response = self.table.borrow().list(&prefix, &after);
+        http_server::json(StatusCode::OK, &response)
     }
 
     async fn watch(&self, request: &actix_http::Request) -> http_server::HttpResponse {
@@ -336,10 +336,10 @@
         let wait = time::Duration::from_secs(number("wait").unwrap_or(30).min(60));
         let deadline = time::Instant::now() + wait;
         loop {
-            let answer = self.table.borrow().changes(&prefixes, since);
+            let response = self.table.borrow().changes(&prefixes, since);
             let left = deadline.saturating_duration_since(time::Instant::now());
-            if !answer.changes.is_empty() || left.is_zero() {
-                return http_server::json(StatusCode::OK, &answer);
+            if !response.changes.is_empty() || left.is_zero() {
+                return http_server::json(StatusCode::OK, &response);
             }
             let _ = actix_rt::time::timeout(left, self.changed.notified()).await;
             if self.table.borrow().faults.out {
--- a/src/standin/plain_service.rs
+++ b/src/standin/plain_service.rs
@@ -40,7 +40,7 @@
                         self.state.borrow_mut().faults = faults;
                         http_server::plain(StatusCode::OK, "set")
                     }
-                    Err(answer) => answer,
+                    Err(response) => response,
                 };
             }
             (Method::GET, "/effects") => {
@@ -67,13 +67,13 @@
         if delay > 0 {
             actix_rt::time::sleep(time::Duration::from_millis(delay)).await;
         }
-        let answer = serde_json::json!({"path": path, "echo": body});
-        let mut answer = http_server::json(StatusCode::OK, &answer);
+        let response = serde_json::json!({"path": path, "echo": body});
+        let mut response = http_server::json(StatusCode::OK, &response);
         if let Some(value) = attempt.and_then(|a| a.parse().ok()) {
             let name = actix_http::header::HeaderName::from_static(wire::ATTEMPT_HEADER);
-            answer.headers_mut().insert(name, value);
+            response.headers_mut().insert(name, value);
         }
-        answer
+        response
     }
 }
 
--- a/src/store_client.rs
+++ b/src/store_client.rs
@@ -87,7 +87,7 @@
         value: bytes::Bytes,
         timeout: time::Duration,
     ) -> impl future::Future<Output = store::StoreResult<StoreAnswer>> + Send + 'static {
-        let (reply, answer) = oneshot::channel();
+        let (reply, response) = oneshot::channel();
         let call = StoreCall {
             class,
             method,
@@ -102,7 +102,7 @@
             if queued.is_err() {
                 return Err(unavailable("too many calls wait"));
             }
-            answer.await.unwrap_or(Err(store::StoreError::Unknown))
+            response.await.unwrap_or(Err(store::StoreError::Unknown))
         }
     }
 
@@ -124,14 +124,14 @@
     }
 }
 
-fn unavailable(why: impl Into<String>) -> store::StoreError {
-    store::StoreError::Unavailable(why.into())
+fn unavailable(reason: impl Into<String>) -> store::StoreError {
+    store::StoreError::Unavailable(reason.into())
 }
 
 fn decode<T: serde::de::DeserializeOwned>(
-    answer: store::StoreResult<StoreAnswer>,
+    response: store::StoreResult<StoreAnswer>,
 ) -> store::StoreResult<T> {
-    serde_json::from_slice(&answer?.body).map_err(|e| store::StoreError::Corrupt(e.to_string()))
+    serde_json::from_slice(&response?.body).map_err(|e| store::StoreError::Corrupt(e.to_string()))
 }
 
 impl store::ObjectStore for StoreClient {
@@ -151,8 +151,8 @@
             CALL_TIMEOUT,
         );
         async move {
-            let answer = call.await?;
-            Ok(answer.into_object())
+            let response = call.await?;
+            Ok(response.into_object())
         }
         .boxed()
     }
--- a/tests/batch_failures.rs
+++ b/tests/batch_failures.rs
@@ -231,14 +231,14 @@
         effects.values().all(|n| *n == 1),
         "an item took effect twice: {effects:?}"
     );
-    let answers = caller.results(&job["output_file_id"]);
+    let responses = caller.results(&job["output_file_id"]);
     let errors = caller.results(&job["error_file_id"]);
-    assert_eq!(answers.len() + errors.len(), 200);
+    assert_eq!(responses.len() + errors.len(), 200);
     assert!(errors
         .values()
         .all(|e| e["error"]["code"] == "outcome_unknown"));
     // What is told as answered did take effect.
-    assert!(effects.len() >= answers.len());
+    assert!(effects.len() >= responses.len());
 }
 
 #[test]
--- a/tests/crash_ledger.rs
+++ b/tests/crash_ledger.rs
@@ -200,17 +200,17 @@
     for update in started.copy(at(3)) {
         assert!(other.merge(update, at(3)));
     }
-    assert!(other.vouch(digest("x"), at(3)));
+    assert!(other.exonerate(digest("x"), at(3)));
     assert!(!is_held(&other, "x", 3));
     for update in other.copy(at(3)) {
         assert!(started.merge(update, at(3)));
     }
     assert!(!is_held(&started, "x", 3), "the word comes back");
     // Who saw nothing of it, or long ago, vouches for nothing.
-    assert!(!CrashLedger::default().vouch(digest("x"), at(3)));
+    assert!(!CrashLedger::default().exonerate(digest("x"), at(3)));
     let mut late = crashed("x", 3);
     late.record_served(digest("y"), at(3));
-    assert!(!late.vouch(digest("x"), at(3)));
+    assert!(!late.exonerate(digest("x"), at(3)));
 }
 
 #[test]
--- a/tests/explain.rs
+++ b/tests/explain.rs
@@ -62,8 +62,8 @@
         );
         line(10, &text)
     };
-    let attempt = |id: &str, why: &str| {
-        let text = format!("event=attempt request={id} outcome=unknown why=\"{why}\"");
+    let attempt = |id: &str, reason: &str| {
+        let text = format!("event=attempt request={id} outcome=unknown why=\"{reason}\"");
         line(9, &text)
     };
     let lines = [
--- a/tests/job_checkpoints.rs
+++ b/tests/job_checkpoints.rs
@@ -36,11 +36,11 @@
 #[case::another_chain_that_is_not(&[(1, 0, 3), (2, 0, 2)], false)]
 #[case::after_it(&[(1, 0, 3), (2, 0, 2), (2, 2, 4)], false)]
 fn what_does_not_fit_is_asked_for_in_whole(
-    #[case] told: &[(u64, usize, usize)],
+    #[case] sent: &[(u64, usize, usize)],
     #[case] last_is_kept: bool,
 ) {
     let board = CheckpointBoard::default();
-    let kept = told.iter().map(|(c, s, e)| board.take(update(*c, *s, *e)));
+    let kept = sent.iter().map(|(c, s, e)| board.take(update(*c, *s, *e)));
     assert_eq!(kept.last(), Some(last_is_kept));
 }
 
--- a/tests/members.rs
+++ b/tests/members.rs
@@ -26,20 +26,20 @@
     };
     assert_eq!(names(&table, now), ["g0"], "nobody was heard yet");
     for id in ["d1", "d2"] {
-        table.record_heard(&id.parse().expect("a name"), Default::default(), now);
+        table.record_heartbeat(&id.parse().expect("a name"), Default::default(), now);
     }
     assert_eq!(names(&table, now), ["d1", "d2"]);
     let leaving = members::PeerHeartbeat {
         leaving: true,
         ..Default::default()
     };
-    table.record_heard(&"d1".parse().expect("a name"), leaving, now);
+    table.record_heartbeat(&"d1".parse().expect("a name"), leaving, now);
     assert_eq!(names(&table, now), ["d2"], "one that leaves owns nothing");
     now = now + members::PEER_SILENCE;
     assert_eq!(names(&table, now), ["g0"]);
     table.take(record("g1", members::MemberRole::Gateway));
     let g1 = "g1".parse().expect("a name");
-    table.record_heard(&g1, Default::default(), now);
+    table.record_heartbeat(&g1, Default::default(), now);
     assert_eq!(
         names(&table, now),
         ["g0", "g1"],
@@ -49,7 +49,7 @@
         receives_from: vec![members::MemberMark::of(&"d1".parse().expect("a name"))],
         ..Default::default()
     };
-    table.record_heard(&g1, receives_from, now);
+    table.record_heartbeat(&g1, receives_from, now);
     assert_eq!(
         names(&table, now),
         ["d1"],
@@ -74,12 +74,12 @@
         instance: id.clone(),
         run: number.parse().expect("a number"),
     };
-    let mut hear = |number| table.record_heard(&id, heard(number), now);
+    let mut hear = |number| table.record_heartbeat(&id, heard(number), now);
     assert_eq!(hear("1"), members::HeardRun::First);
     assert_eq!(hear("1"), members::HeardRun::Same);
     assert!(!table.has_ended(&of("1"), now));
     assert_eq!(
-        table.record_heard(&id, heard("2"), now),
+        table.record_heartbeat(&id, heard("2"), now),
         members::HeardRun::Next
     );
     assert!(table.has_ended(&of("1"), now));
--- a/tests/online_failures.rs
+++ b/tests/online_failures.rs
@@ -85,11 +85,11 @@
     check_streams(&fleet, 12, 5);
     for number in 0..12 {
         let content = format!("whole {number}");
-        let answer = fleet
+        let response = fleet
             .caller(0)
             .post("/v1/chat/completions", support::chat(&content, 5, false));
-        let answer = answer.expect("it is answered");
-        let text = answer["choices"][0]["message"]["content"].as_str();
+        let response = response.expect("it is answered");
+        let text = response["choices"][0]["message"]["content"].as_str();
         assert_eq!(text, Some(smoke::expected_response(&content, 5).as_str()));
     }
 }
@@ -99,15 +99,15 @@
     let fleet = support::ProcessFleet::start(&small(1));
     support::set_faults(&fleet.plain, serde_json::json!({"refuse": true}));
     let started = time::Instant::now();
-    let answer = fleet
+    let response = fleet
         .caller(0)
         .send(Method::POST, "/services/print/x", &[], b"label".to_vec());
-    let answer = answer.expect("it is answered");
+    let response = response.expect("it is answered");
     assert_eq!(
-        (answer.status, answer.json()["error"]["ran"].as_str()),
+        (response.status, response.json()["error"]["ran"].as_str()),
         (503, Some("no"))
     );
-    assert!(answer.retry_after.is_some());
+    assert!(response.retry_after.is_some());
     // The default deadline is two minutes: the final answer does not wait for it.
     assert!(started.elapsed() < support::TIMEOUT);
     assert!(fleet.plain_effects().is_empty());
@@ -125,7 +125,7 @@
             .send(Method::POST, "/services/print/x", &headers, body)
             .expect("it is answered")
     };
-    let answers: Vec<support::TestAnswer> = thread::scope(|scope| {
+    let responses: Vec<support::TestAnswer> = thread::scope(|scope| {
         let racing: Vec<_> = (0..6)
             .map(|n| scope.spawn(move || call(n % 2, "label")))
             .collect();
@@ -134,9 +134,9 @@
             .map(|t| t.join().expect("it is answered"))
             .collect()
     });
-    let ok = answers.iter().filter(|a| a.status == 200).count();
+    let ok = responses.iter().filter(|a| a.status == 200).count();
     assert_eq!(ok, 1, "one runs, the others learn that it is under way");
-    assert!(answers
+    assert!(responses
         .iter()
         .all(|a| a.status == 200 || a.json()["error"]["code"] == "in_progress"));
     let replayed = call(1, "label");
@@ -154,15 +154,15 @@
     let fleet = support::ProcessFleet::start(&small(1));
     fleet.object_faults(serde_json::json!({"out": true}));
     let headers = [("idempotency-key", "k"), ("x-deadline-ms", "1500")];
-    let answer = fleet.caller(0).send(
+    let response = fleet.caller(0).send(
         Method::POST,
         "/services/print/x",
         &headers,
         b"label".to_vec(),
     );
-    let answer = answer.expect("it is answered");
+    let response = response.expect("it is answered");
     assert_eq!(
-        (answer.status, answer.json()["error"]["ran"].as_str()),
+        (response.status, response.json()["error"]["ran"].as_str()),
         (503, Some("no"))
     );
     assert!(fleet.plain_effects().is_empty());
@@ -176,11 +176,11 @@
         let key = format!("label-{number}");
         let headers = [("idempotency-key", key.as_str())];
         let body = key.as_bytes().to_vec();
-        let answer =
+        let response =
             fleet
                 .caller(number % 2)
                 .send(Method::POST, "/services/print/x", &headers, body);
-        assert_eq!(answer.expect("it is answered").status, 200);
+        assert_eq!(response.expect("it is answered").status, 200);
     }
     let effects = fleet.plain_effects();
     assert_eq!(effects.len(), 12);
@@ -206,7 +206,7 @@
     });
     fleet.gateways[0].kill();
     assert!(sent.join().expect("the thread ends").is_err());
-    let answer = support::wait_for("the outcome is given", || {
+    let response = support::wait_for("the outcome is given", || {
         let caller = fleet.caller(1);
         let sent = caller.send(
             Method::POST,
@@ -217,8 +217,8 @@
         sent.ok()
             .filter(|a| a.json()["error"]["code"] != "in_progress")
     });
-    assert_eq!(answer.json()["error"]["code"], "outcome_unknown");
-    assert_eq!(answer.json()["error"]["ran"], "unknown");
+    assert_eq!(response.json()["error"]["code"], "outcome_unknown");
+    assert_eq!(response.json()["error"]["ran"], "unknown");
     assert_eq!(
         fleet
             .plain_effects()
@@ -358,7 +358,7 @@
                     let ready = all.into_iter().find(|address| {
                         let client = support::TestClient::new(*address, support::KEY);
                         let ready = client.send(Method::GET, "/readyz", &[], Vec::new());
-                        ready.is_ok_and(|answer| answer.status == 200)
+                        ready.is_ok_and(|response| response.status == 200)
                     });
                     let Some(address) = ready else { continue };
                     let client = support::TestClient::new(address, support::KEY);
--- a/tests/standins.rs
+++ b/tests/standins.rs
@@ -9,9 +9,9 @@
 async fn send(method: Method, url: String, body: serde_json::Value) -> (u16, serde_json::Value) {
     let client = http_client::new_client(0);
     let sent = client.request(method, url).send_json(&body).await;
-    let mut answer = sent.expect("it is answered");
-    let status = answer.status().as_u16();
-    let body = answer.body().await.expect("it is whole");
+    let mut response = sent.expect("it is answered");
+    let status = response.status().as_u16();
+    let body = response.body().await.expect("it is whole");
     (
         status,
         serde_json::from_slice(&body).unwrap_or(serde_json::Value::Null),
--- a/tests/state_copy.rs
+++ b/tests/state_snapshot.rs
@@ -4,7 +4,9 @@
 
 use jayhollow::serving::{
     route_table,
-    state_copy::{CopyShelf, IncomingState, PartOutcome, StatePart, StatePartRequest, PART_BYTES},
+    state_snapshot::{
+        IncomingSnapshot, PartOutcome, SnapshotCache, StatePart, StatePartRequest, PART_BYTES,
+    },
 };
 
 fn route(number: usize) -> route_table::Route {
@@ -46,11 +48,11 @@
 
 /// Adds parts until the state is whole; gives its version and the parts it took.
 fn transfer(
-    incoming: &mut IncomingState,
+    incoming: &mut IncomingSnapshot,
     mut tell: impl FnMut(StatePartRequest) -> StatePart,
 ) -> (route_table::DesiredState, usize) {
     for count in 1..1000 {
-        match incoming.add(tell(incoming.next_ask())) {
+        match incoming.add(tell(incoming.next_request())) {
             PartOutcome::Added => {}
             PartOutcome::Whole(state) => return (state, count),
             other => panic!("part {count}: {other:?}"),
@@ -63,9 +65,9 @@
 #[case::small(3, 1)]
 #[case::large(4000, 30)]
 fn a_state_arrives_whole_in_few_parts(#[case] routes: usize, #[case] most: usize) {
-    let (shelf, newest) = (CopyShelf::default(), state(7, routes));
+    let (shelf, newest) = (SnapshotCache::default(), state(7, routes));
     let tell = |ask| shelf.part(ask, &newest).expect("it can be encoded");
-    let (arrived, parts) = transfer(&mut IncomingState::default(), tell);
+    let (arrived, parts) = transfer(&mut IncomingSnapshot::default(), tell);
     assert_eq!(arrived.version, newest.version);
     assert_eq!(arrived.routes.len(), routes);
     assert_eq!(format!("{arrived:?}"), format!("{newest:?}"));
@@ -74,8 +76,8 @@
 
 #[test]
 fn a_transfer_ends_with_the_copy_that_it_began_with() {
-    let shelf = CopyShelf::default();
-    let mut incoming = IncomingState::default();
+    let shelf = SnapshotCache::default();
+    let mut incoming = IncomingSnapshot::default();
     let mut number = 7;
     let tell = |ask| {
         number += 1;
@@ -93,9 +95,9 @@
 
 #[test]
 fn a_transfer_goes_on_at_another_peer() {
-    let shelves = [CopyShelf::default(), CopyShelf::default()];
+    let shelves = [SnapshotCache::default(), SnapshotCache::default()];
     let newest = state(7, 2000);
-    let whole = transfer(&mut IncomingState::default(), |ask| {
+    let whole = transfer(&mut IncomingSnapshot::default(), |ask| {
         shelves[0].part(ask, &newest).expect("it can be encoded")
     });
     // The second peer encodes the copy itself, when it is first asked.
@@ -103,7 +105,7 @@
         .part(StatePartRequest::First, &newest)
         .expect("it can be encoded");
     let mut turn = 0;
-    let (arrived, parts) = transfer(&mut IncomingState::default(), |ask| {
+    let (arrived, parts) = transfer(&mut IncomingSnapshot::default(), |ask| {
         turn += 1;
         let shelf = &shelves[turn % 2];
         shelf.part(ask, &newest).expect("it can be encoded")
@@ -114,7 +116,7 @@
 
 #[test]
 fn parts_of_another_copy_or_place_add_nothing() {
-    let shelf = CopyShelf::default();
+    let shelf = SnapshotCache::default();
     let newest = state(7, 2000);
     let first = shelf
         .part(StatePartRequest::First, &newest)
@@ -124,13 +126,13 @@
         .expect("a part");
     let other = shelf.part(StatePartRequest::First, &state(8, 2000));
     let other = other.expect("a part");
-    let mut incoming = IncomingState::default();
+    let mut incoming = IncomingSnapshot::default();
     assert!(matches!(incoming.add(first.clone()), PartOutcome::Added));
     for unfit in [first.clone(), other, third_of(&second)] {
         assert!(matches!(incoming.add(unfit), PartOutcome::Unfit(_)));
     }
     let ask = StatePartRequest::Next(first.copy, PART_BYTES);
-    assert_eq!(incoming.next_ask(), ask, "it goes on where it was");
+    assert_eq!(incoming.next_request(), ask, "it goes on where it was");
     let (arrived, _) = transfer(&mut incoming, |ask| {
         shelf.part(ask, &newest).expect("a part")
     });
@@ -147,7 +149,7 @@
 
 #[test]
 fn a_damaged_state_is_refused_and_the_next_one_taken() {
-    let shelf = CopyShelf::default();
+    let shelf = SnapshotCache::default();
     let newest = state(7, 3);
     let part = shelf
         .part(StatePartRequest::First, &newest)
@@ -160,10 +162,10 @@
     });
     let mut huge = part.clone();
     huge.copy.total = usize::MAX;
-    let mut incoming = IncomingState::default();
+    let mut incoming = IncomingSnapshot::default();
     for bad in damaged.chain([huge]) {
         assert!(matches!(incoming.add(bad), PartOutcome::Refused(_)));
-        assert_eq!(incoming.next_ask(), StatePartRequest::First);
+        assert_eq!(incoming.next_request(), StatePartRequest::First);
     }
     assert_eq!(version(&incoming.add(part)), Some(7));
 }
--- a/tests/support/client.rs
+++ b/tests/support/client.rs
@@ -37,7 +37,7 @@
         }
     }
 
-    pub fn reach(&self) -> cli::GatewayProfile {
+    pub fn profile(&self) -> cli::GatewayProfile {
         cli::GatewayProfile {
             url: format!("http://{}", self.address),
             key: self.key.clone(),
@@ -97,9 +97,9 @@
 
     /// Uploads items as a file and gives its name.
     pub fn upload(&self, items: &str) -> String {
-        let reach = self.reach();
+        let profile = self.profile();
         let file = actix_rt::System::new().block_on(async {
-            let client = cli::client::ApiClient::new(&reach);
+            let client = cli::client::ApiClient::new(&profile);
             cli::job_commands::upload(&client, items.as_bytes()).await
         });
         file.expect("the file is stored")["id"]
@@ -136,12 +136,16 @@
             return Results::new();
         };
         let path = format!("/v1/files/{file}/content");
-        let answer = self
+        let response = self
             .send(Method::GET, &path, &[], Vec::new())
             .expect("results are read");
-        assert_eq!(answer.status, 200);
+        assert_eq!(response.status, 200);
         let mut results = Results::new();
-        for line in answer.body.split(|b| *b == b'\n').filter(|l| !l.is_empty()) {
+        for line in response
+            .body
+            .split(|b| *b == b'\n')
+            .filter(|l| !l.is_empty())
+        {
             let result: serde_json::Value = serde_json::from_slice(line).expect("it is JSON");
             let name = result["custom_id"]
                 .as_str()
@@ -157,18 +161,18 @@
 
     /// Reads a stream to its end: the text, and whether it ended as a whole answer.
     pub fn stream(&self, content: &str, tokens: u32) -> Result<(String, bool), String> {
-        let answer = self.send(
+        let response = self.send(
             Method::POST,
             "/v1/chat/completions",
             &[],
             chat(content, tokens, true),
         )?;
-        if answer.status != 200 {
-            return Err(String::from_utf8_lossy(&answer.body).into_owned());
+        if response.status != 200 {
+            return Err(String::from_utf8_lossy(&response.body).into_owned());
         }
         let mut text = String::new();
         let mut whole = false;
-        for data in String::from_utf8_lossy(&answer.body).lines() {
+        for data in String::from_utf8_lossy(&response.body).lines() {
             let Some(data) = data.strip_prefix("data: ") else {
                 continue;
             };
@@ -190,13 +194,13 @@
 /// Results by `custom_id`.
 pub type Results = std::collections::BTreeMap<String, serde_json::Value>;
 
-fn success(answer: TestAnswer) -> Result<serde_json::Value, String> {
-    if answer.status == 200 {
-        return Ok(answer.json());
+fn success(response: TestAnswer) -> Result<serde_json::Value, String> {
+    if response.status == 200 {
+        return Ok(response.json());
     }
     Err(format!(
         "{}: {}",
-        answer.status,
-        String::from_utf8_lossy(&answer.body)
+        response.status,
+        String::from_utf8_lossy(&response.body)
     ))
 }
--- a/tests/tls.rs
+++ b/tests/tls.rs
@@ -39,9 +39,9 @@
     socket.set_read_timeout(Some(support::TIMEOUT))?;
     let mut stream = rustls::StreamOwned::new(client, socket);
     stream.write_all(b"GET /healthz HTTP/1.1\r\nhost: localhost\r\nconnection: close\r\n\r\n")?;
-    let mut answer = Vec::new();
-    let _ = stream.read_to_end(&mut answer);
-    Ok(String::from_utf8_lossy(&answer).into_owned())
+    let mut response = Vec::new();
+    let _ = stream.read_to_end(&mut response);
+    Ok(String::from_utf8_lossy(&response).into_owned())
 }
 
 #[test]
@@ -65,8 +65,8 @@
         .starts_with("HTTP/1.1 200"));
     let second = write_key(&fleet.folder);
     support::wait_for("the new key is served", || {
-        let answer = ask(address, &second).ok()?;
-        answer.starts_with("HTTP/1.1 200").then_some(())
+        let response = ask(address, &second).ok()?;
+        response.starts_with("HTTP/1.1 200").then_some(())
     });
     assert!(
         ask(address, &first).is_err(),
--- a/tests/truncated_answers.rs
+++ b/tests/truncated_answers.rs
@@ -10,13 +10,13 @@
 use rstest::rstest;
 
 /// Answers one connection with these bytes and closes it.
-fn serve_once(answer: &'static str) -> net::SocketAddr {
+fn serve_once(response: &'static str) -> net::SocketAddr {
     let listener = net::TcpListener::bind("127.0.0.1:0").expect("a port is free");
     let address = listener.local_addr().expect("it has an address");
     thread::spawn(move || {
         if let Ok((mut socket, _)) = listener.accept() {
             let _ = socket.read(&mut [0; 4096]);
-            let _ = socket.write_all(answer.as_bytes());
+            let _ = socket.write_all(response.as_bytes());
             // Time for the answer to be read before the end is seen.
             thread::sleep(time::Duration::from_millis(100));
         }
@@ -53,16 +53,16 @@
     "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n9\r\nbody",
     false
 )]
-fn only_whole_answers_complete(#[case] answer: &'static str, #[case] whole: bool) {
-    let address = serve_once(answer);
+fn only_whole_answers_complete(#[case] response: &'static str, #[case] whole: bool) {
+    let address = serve_once(response);
     let outcome = actix_rt::System::new().block_on(async {
         let client = endpoint_client::new_client();
         endpoint_client::call_whole(&client, &call(address)).await
     });
     match outcome {
-        outcome::AttemptOutcome::Completed(answer) => {
+        outcome::AttemptOutcome::Completed(response) => {
             assert!(whole, "a cut answer was taken for a whole one");
-            assert_eq!(answer.body, "body");
+            assert_eq!(response.body, "body");
         }
         outcome::AttemptOutcome::Unknown(_) => assert!(!whole),
         other => panic!("neither whole nor unknown: {other:?}"),
--- a/tests/whole_path.rs
+++ b/tests/whole_path.rs
@@ -11,9 +11,9 @@
     for gateway in 0..2 {
         let caller = fleet.caller(gateway);
         let content = format!("note {gateway}");
-        let answer = caller.post("/v1/chat/completions", support::chat(&content, 8, false));
-        let answer = answer.expect("it is answered");
-        let text = answer["choices"][0]["message"]["content"].as_str();
+        let response = caller.post("/v1/chat/completions", support::chat(&content, 8, false));
+        let response = response.expect("it is answered");
+        let text = response["choices"][0]["message"]["content"].as_str();
         assert_eq!(text, Some(smoke::expected_response(&content, 8).as_str()));
         let (text, whole) = caller.stream(&content, 8).expect("it is streamed");
         assert_eq!((text, whole), (smoke::expected_response(&content, 8), true));
@@ -50,10 +50,10 @@
     let caller = fleet.caller(0);
     let stranger = support::TestClient::new(fleet.gateways[0].address("callers"), "wrong");
     let post = |client: &support::TestClient, path: &str, body: &[u8]| {
-        let answer = client
+        let response = client
             .send(Method::POST, path, &[], body.to_vec())
             .expect("it is answered");
-        (answer.status, answer.json()["error"].clone())
+        (response.status, response.json()["error"].clone())
     };
     let cases: [(&str, &[u8], u16, &str); 6] = [
         ("/v1/chat/completions", b"{", 400, "invalid_request"),
@@ -109,14 +109,14 @@
         format!("/v1/files/{output}/content"),
         format!("/v1/batches/{id}"),
     ] {
-        let answer = other
+        let response = other
             .send(Method::GET, &path, &[], Vec::new())
             .expect("it is answered");
-        assert_eq!(answer.status, 404, "{path}");
+        assert_eq!(response.status, 404, "{path}");
     }
     let cancel = format!("/v1/batches/{id}/cancel");
-    let answer = other.send(Method::POST, &cancel, &[], Vec::new());
-    assert_eq!(answer.expect("it is answered").status, 404);
+    let response = other.send(Method::POST, &cancel, &[], Vec::new());
+    assert_eq!(response.expect("it is answered").status, 404);
     assert_eq!(
         other.get("/v1/batches").expect("it is listed")["data"],
         serde_json::json!([])
@@ -151,17 +151,17 @@
             })
         })
         .collect();
-    let answers: Vec<support::TestAnswer> = running
+    let responses: Vec<support::TestAnswer> = running
         .into_iter()
         .map(|r| r.join().expect("it ends").expect("it is answered"))
         .collect();
-    let served = answers.iter().filter(|a| a.status == 200).count();
-    let refused: Vec<_> = answers.iter().filter(|a| a.status == 503).collect();
+    let served = responses.iter().filter(|a| a.status == 200).count();
+    let refused: Vec<_> = responses.iter().filter(|a| a.status == 503).collect();
     assert_eq!(served + refused.len(), 8);
     assert!(served >= 2 && !refused.is_empty());
-    for answer in refused {
-        assert_eq!(answer.json()["error"]["ran"], "no");
-        assert!(answer.retry_after.is_some());
+    for response in refused {
+        assert_eq!(response.json()["error"]["ran"], "no");
+        assert!(response.retry_after.is_some());
     }
 }
 
@@ -176,16 +176,16 @@
         let _ = socket.write_all(part);
         std::thread::sleep(pause);
     }
-    let mut answer = Vec::new();
+    let mut response = Vec::new();
     let mut piece = [0; 4096];
     while let Ok(count) = socket.read(&mut piece) {
-        answer.extend_from_slice(&piece[..count]);
+        response.extend_from_slice(&piece[..count]);
         // An error's JSON ends with two braces.
-        if count == 0 || answer.ends_with(b"}}") {
+        if count == 0 || response.ends_with(b"}}") {
             break;
         }
     }
-    String::from_utf8_lossy(&answer).into_owned()
+    String::from_utf8_lossy(&response).into_owned()
 }
 
 #[test]
@@ -208,24 +208,24 @@
         "GET /v1/models HTTP/1.1\r\n{key}x-large: {}\r\n\r\n",
         "y".repeat(40_000)
     );
-    let answer = raw(address, &[large.as_bytes()], none);
+    let response = raw(address, &[large.as_bytes()], none);
     assert!(
-        answer.starts_with("HTTP/1.1 413") && answer.contains("too_large"),
-        "{answer}"
+        response.starts_with("HTTP/1.1 413") && response.contains("too_large"),
+        "{response}"
     );
     let slow = format!("POST /v1/completions HTTP/1.1\r\n{key}content-length: 100\r\n\r\n{{");
-    let answer = raw(address, &[slow.as_bytes()], none);
+    let response = raw(address, &[slow.as_bytes()], none);
     assert!(
-        answer.starts_with("HTTP/1.1 408") && answer.contains("request_timeout"),
-        "{answer}"
+        response.starts_with("HTTP/1.1 408") && response.contains("request_timeout"),
+        "{response}"
     );
     let pause = std::time::Duration::from_millis(2500);
-    let answer = raw(
+    let response = raw(
         address,
         &[b"GET /v1/models HTTP/1.1\r\nhost:", b" x\r\n"],
         pause,
     );
-    assert!(answer.starts_with("HTTP/1.1 408"), "{answer}");
+    assert!(response.starts_with("HTTP/1.1 408"), "{response}");
     let long = format!("{{\"custom_id\":\"{}\"}}\n", "z".repeat(300));
     let caller = fleet.caller(2);
     let upload = std::panic::catch_unwind(|| caller.upload(&long));
@@ -238,9 +238,9 @@
         // the gateway has taken them.
         let connect = || std::net::TcpStream::connect(address).expect("it connects");
         let open: Vec<_> = std::iter::repeat_with(connect).take(6).collect();
-        let answer = raw(address, &[request.as_bytes()], none);
+        let response = raw(address, &[request.as_bytes()], none);
         drop(open);
-        (answer.starts_with("HTTP/1.1 503") && answer.contains("too many connections"))
+        (response.starts_with("HTTP/1.1 503") && response.contains("too many connections"))
             .then_some(())
     });
     support::wait_for("the refusals are counted", || {
