--- a/src/fleet/watcher.rs
+++ b/src/fleet/watcher.rs
@@ -75,7 +75,7 @@
                 Err(e) => {
                     log::warn!("event=watch_failed why=\"{e}\"");
                     self.model.borrow_mut().store_answers = false;
-                    self.ask_peers().await;
+                    self.query_peers().await;
                     self.publish();
                     actix_rt::time::sleep(backoff.next_delay()).await;
                 }
@@ -137,7 +137,7 @@
     }
 
     /// Asks a few peers for a newer bundle while the object service is out.
-    async fn ask_peers(&self) {
+    async fn query_peers(&self) {
         let known = self.model.borrow().bundle.generation;
         let own = self.options.id.clone();
         let peers: Vec<net::SocketAddr> = self
--- a/src/gateway/route.rs
+++ b/src/gateway/route.rs
@@ -68,7 +68,7 @@
     for endpoint in ranked.into_iter().take(MAX_ASKED) {
         let owner = snapshot.owner_of(&endpoint).map(|(_, address)| address);
         let hold = hold(context, endpoint);
-        let Some((waiting, hold)) = ask(context, hold, owner).await else {
+        let Some((waiting, hold)) = send_request(context, hold, owner).await else {
             continue;
         };
         if waiting == 0 {
@@ -101,7 +101,7 @@
 /// Asks the owner; without one the gateway goes ahead on its own estimate.
 ///
 /// Gives how many requests wait there for a place, or nothing if it takes no more.
-async fn ask(
+async fn send_request(
     context: &context::GatewayContext,
     mut hold: RouteHold,
     owner: Option<net::SocketAddr>,
--- a/src/link/client.rs
+++ b/src/link/client.rs
@@ -138,7 +138,7 @@
             } => {
                 let client = connected(&peers, peer, &shared);
                 actix_rt::spawn(async move {
-                    let response = ask_permit(client, request, permit_timeout).await;
+                    let response = request_permit(client, request, permit_timeout).await;
                     // The asker may have stopped waiting.
                     drop(reply.send(response));
                 });
@@ -175,7 +175,7 @@
     }
 }
 
-async fn ask_permit(
+async fn request_permit(
     client: Option<PeerLinkClient>,
     request: PermitRequest,
     timeout: time::Duration,
--- a/src/serving/crash_guard.rs
+++ b/src/serving/crash_guard.rs
@@ -223,11 +223,15 @@
     let is_due = context.clock.now() >= guard.ask_at.get();
     if is_due && hello.crashes != guard.number() {
         let id = hello.id.clone();
-        actix_rt::spawn(ask(context.clone(), peer, id));
+        actix_rt::spawn(send_request(context.clone(), peer, id));
     }
 }
 
-async fn ask(context: rc::Rc<context::ProcessContext>, peer: net::SocketAddr, id: ids::InstanceId) {
+async fn send_request(
+    context: rc::Rc<context::ProcessContext>,
+    peer: net::SocketAddr,
+    id: ids::InstanceId,
+) {
     let guard = &context.crashes;
     let Some(_flight) = guard.flight.begin() else {
         return;
--- a/src/serving/job_board.rs
+++ b/src/serving/job_board.rs
@@ -290,13 +290,13 @@
 /// The store does not answer, and what is known here may not be all.
 pub async fn read_results(
     context: &rc::Rc<context::ProcessContext>,
-    ask: &peers::ResultAsk,
+    request: &peers::ResultRequest,
 ) -> store::StoreResult<Option<wire::ResultPage>> {
-    let Some(job) = load(context, &ask.job).await? else {
+    let Some(job) = load(context, &request.job).await? else {
         return Ok(None);
     };
-    let owned = context.job_owner(&ask.job).as_ref() == Some(context.id());
-    let until = clock::BootInstant::now() + ask.wait;
+    let owned = context.job_owner(&request.job).as_ref() == Some(context.id());
+    let until = clock::BootInstant::now() + request.wait;
     if !job.borrow().is_known {
         learn(context, &job).await?;
     }
@@ -308,19 +308,19 @@
             let known = job.committed.len();
             (known, job.is_over(), stale, job.changed.subscribe())
         };
-        let behind = ask.after > known || (!owned && ask.after >= known);
+        let behind = request.after > known || (!owned && request.after >= known);
         if behind && stale && !over {
             refresh(context, &job).await?;
             continue;
         }
         let left = until.duration_since(clock::BootInstant::now());
-        if known > ask.after || over || left.is_zero() {
-            return Ok(Some(job.borrow().page(ask.after)));
+        if known > request.after || over || left.is_zero() {
+            return Ok(Some(job.borrow().page(request.after)));
         }
         let timeout = if owned { left } else { left.min(FRESH) };
         let changed = tokio::time::timeout(timeout, changes.changed()).await;
         if matches!(changed, Ok(Err(_))) {
-            log::warn!("event=job_forgotten job={}", ask.job);
+            log::warn!("event=job_forgotten job={}", request.job);
         }
     }
 }
--- a/src/serving/job_calls.rs
+++ b/src/serving/job_calls.rs
@@ -130,14 +130,14 @@
     after: usize,
     wait: time::Duration,
 ) -> http_server::HttpResponse {
-    let ask = peers::ResultAsk { job, after, wait };
-    match read_page(context, &ask).await {
+    let request = peers::ResultRequest { job, after, wait };
+    match read_page(context, &request).await {
         Ok(Some(page)) => page_answer(context, &page),
         Ok(None) => no_job(),
         Err(e) => {
             log::info!(
                 "event=results_unsure job={} after={after} why=\"{e}\"",
-                ask.job
+                request.job
             );
             refused("the results cannot be read now\n")
         }
@@ -150,12 +150,12 @@
 /// The store does not answer either.
 pub async fn read_page(
     context: &rc::Rc<context::ProcessContext>,
-    ask: &peers::ResultAsk,
+    request: &peers::ResultRequest,
 ) -> store::StoreResult<Option<wire::ResultPage>> {
-    if let Some(page) = read_from_owner(context, ask).await {
+    if let Some(page) = read_from_owner(context, request).await {
         return Ok(Some(page));
     }
-    job_board::read_results(context, ask).await
+    job_board::read_results(context, request).await
 }
 
 /// The process that has a job's results at hand: its owner, or a way to it.
@@ -177,19 +177,19 @@
 
 async fn read_from_owner(
     context: &rc::Rc<context::ProcessContext>,
-    ask: &peers::ResultAsk,
+    request: &peers::ResultRequest,
 ) -> Option<wire::ResultPage> {
-    let (owner, address) = reader_of(context, &ask.job)?;
-    let timeout = ask.wait + OWNER_SPARE;
+    let (owner, address) = reader_of(context, &request.job)?;
+    let timeout = request.wait + OWNER_SPARE;
     let response = context
         .links
-        .read_results(address, ask.clone(), timeout)
+        .read_results(address, request.clone(), timeout)
         .await;
     response
         .inspect_err(|e| {
             log::info!(
                 "event=owner_unread job={} owner={owner} why=\"{e}\"",
-                ask.job
+                request.job
             )
         })
         .ok()
--- a/src/serving/lent_slots.rs
+++ b/src/serving/lent_slots.rs
@@ -45,13 +45,13 @@
             }
             let address = context.members.borrow().address_of(&owner.id);
             let Some(address) = address else { continue };
-            let ask = peers::BatchSlotRequest {
+            let request = peers::BatchSlotRequest {
                 number: rand::random(),
                 holder: context.run.clone(),
                 service: service.clone(),
                 count: waiting.min(MAX_LENT),
             };
-            if let Some(slots) = request_slots(&context, &owner.id, address, ask).await {
+            if let Some(slots) = request_slots(&context, &owner.id, address, request).await {
                 waiting = waiting.saturating_sub(slots.len());
                 use_slots(&context, address, slots);
             }
@@ -66,9 +66,9 @@
     context: &rc::Rc<context::ProcessContext>,
     owner: &ids::InstanceId,
     address: net::SocketAddr,
-    ask: peers::BatchSlotRequest,
+    request: peers::BatchSlotRequest,
 ) -> Option<Vec<peers::BorrowedSlot>> {
-    let lending = lend(context.clone(), owner.clone(), address, ask);
+    let lending = lend(context.clone(), owner.clone(), address, request);
     let mut lending = Box::pin(lending);
     if let Ok(slots) = tokio::time::timeout(LEND_TIMEOUT, &mut lending).await {
         return slots;
@@ -87,10 +87,13 @@
     context: rc::Rc<context::ProcessContext>,
     owner: ids::InstanceId,
     address: net::SocketAddr,
-    ask: peers::BatchSlotRequest,
+    request: peers::BatchSlotRequest,
 ) -> Option<Vec<peers::BorrowedSlot>> {
-    let number = ask.number;
-    let response = context.links.lend(address, ask, LATE_LEND_TIMEOUT).await;
+    let number = request.number;
+    let response = context
+        .links
+        .lend(address, request, LATE_LEND_TIMEOUT)
+        .await;
     response
         .inspect_err(|e| {
             log::info!("event=lend_failed owner={owner} why=\"{e}\"");
--- a/src/serving/limit_links.rs
+++ b/src/serving/limit_links.rs
@@ -65,18 +65,18 @@
         order
     }
 
-    fn ask(
+    fn send_request(
         &self,
         quota_server: ids::InstanceId,
-        ask: limit_messages::GrantAsk,
-    ) -> future::LocalBoxFuture<'_, Option<limit_messages::GrantAnswer>> {
+        request: limit_messages::TokenRequest,
+    ) -> future::LocalBoxFuture<'_, Option<limit_messages::TokenResponse>> {
         let context = self.context;
         async move {
             if quota_server == *context.id() {
-                return Some(grant(context, &ask));
+                return Some(grant(context, &request));
             }
             let (address, timeout) = self.way_to(&quota_server)?;
-            let response = context.links.draw_tokens(address, ask, timeout).await;
+            let response = context.links.draw_tokens(address, request, timeout).await;
             response
                 .inspect_err(|e| {
                     log::info!("event=keeper_silent keeper={quota_server} why=\"{e}\"")
@@ -90,21 +90,23 @@
 /// Grants tokens of the own pools.
 pub(super) fn grant(
     context: &context::ProcessContext,
-    ask: &limit_messages::GrantAsk,
-) -> limit_messages::GrantAnswer {
-    let Some(limit) = limit_of(context, &ask.workspace) else {
-        return limit_messages::GrantAnswer::NotKeeper;
+    request: &limit_messages::TokenRequest,
+) -> limit_messages::TokenResponse {
+    let Some(limit) = limit_of(context, &request.workspace) else {
+        return limit_messages::TokenResponse::NotKeeper;
     };
     let mut pools = context.pools.borrow_mut();
     let now = context.clock.now();
-    pools.grant(&ask.workspace, &limit, ask.wanted, now).into()
+    pools
+        .grant(&request.workspace, &limit, request.wanted, now)
+        .into()
 }
 
 /// Draws tokens for a gateway that is cut off from the keepers.
 pub(super) async fn draw_for_peer(
     context: &rc::Rc<context::ProcessContext>,
-    ask: limit_messages::GrantAsk,
-) -> Option<limit_messages::GrantAnswer> {
+    request: limit_messages::TokenRequest,
+) -> Option<limit_messages::TokenResponse> {
     use limiter::GrantSource as _;
 
     // Two gateways that take each other for connected must not ask each other in turn.
@@ -113,9 +115,9 @@
         relays: Vec::new(),
     };
     let mut last = None;
-    for quota_server in source.quota_servers(&ask.workspace) {
-        last = source.ask(quota_server, ask.clone()).await;
-        if matches!(last, Some(limit_messages::GrantAnswer::Tokens(_))) {
+    for quota_server in source.quota_servers(&request.workspace) {
+        last = source.send_request(quota_server, request.clone()).await;
+        if matches!(last, Some(limit_messages::TokenResponse::Tokens(_))) {
             break;
         }
     }
--- a/src/serving/peer_calls.rs
+++ b/src/serving/peer_calls.rs
@@ -35,14 +35,14 @@
             views::take_probe(context, &hello);
             reply(sender, context.hello());
         }
-        C::Acquire(ask, sender) => {
+        C::Acquire(request, sender) => {
             let is_owner = context.owners().iter().any(|o| o.id == *context.id());
             if is_owner {
-                return reply(sender, grant(context, &ask));
+                return reply(sender, grant(context, &request));
             }
             let context = context.clone();
             actix_rt::spawn(async move {
-                if let Some(response) = slots::ask_for_peer(&context, ask).await {
+                if let Some(response) = slots::request_for_peer(&context, request).await {
                     reply(sender, response);
                 }
             });
@@ -53,12 +53,12 @@
             crash_guard::take(context, update);
         }
         C::Crashes(sender) => reply(sender, context.crashes.copy(context.clock.now())),
-        C::StatePart(ask, sender) => {
+        C::StatePart(request, sender) => {
             let table = context.fleet.table();
             if !table.is_known() {
                 return;
             }
-            match context.state_transfer.shelf.part(ask, table.state()) {
+            match context.state_transfer.shelf.part(request, table.state()) {
                 Ok(part) => reply(sender, part),
                 Err(e) => log::warn!("event=state_untold why=\"{e}\""),
             }
@@ -78,18 +78,18 @@
         C::KeepProgress(part, sender) => {
             reply(sender, job_checkpoints::take_part(context, part));
         }
-        C::ReadResults(ask, sender) => {
+        C::ReadResults(request, sender) => {
             let context = context.clone();
             actix_rt::spawn(async move {
-                match job_calls::read_page(&context, &ask).await {
+                match job_calls::read_page(&context, &request).await {
                     Ok(Some(page)) => reply(sender, page),
-                    Ok(None) => log::info!("event=results_unknown job={}", ask.job),
-                    Err(e) => log::info!("event=results_unread job={} why=\"{e}\"", ask.job),
+                    Ok(None) => log::info!("event=results_unknown job={}", request.job),
+                    Err(e) => log::info!("event=results_unread job={} why=\"{e}\"", request.job),
                 }
             });
         }
         C::EndJob(job) => job_runner::end_job(context, &job),
-        C::Lend(ask, sender) => reply(sender, lend(context, &ask)),
+        C::Lend(request, sender) => reply(sender, lend(context, &request)),
         C::GiveBack(slot) => {
             let mut permits = context.permits.borrow_mut();
             permits.end_batch(&slot.endpoint, slot.number);
@@ -111,14 +111,14 @@
                 }
             });
         }
-        C::DrawTokens(ask, sender) => {
+        C::DrawTokens(request, sender) => {
             let is_owner = context.owners().iter().any(|o| o.id == *context.id());
             if is_owner {
-                return reply(sender, limit_links::grant(context, &ask));
+                return reply(sender, limit_links::grant(context, &request));
             }
             let context = context.clone();
             actix_rt::spawn(async move {
-                if let Some(response) = limit_links::draw_for_peer(&context, ask).await {
+                if let Some(response) = limit_links::draw_for_peer(&context, request).await {
                     reply(sender, response);
                 }
             });
@@ -150,7 +150,7 @@
 /// Lends places of batch streams at owned endpoints.
 fn lend(
     context: &context::ProcessContext,
-    ask: &peers::BatchSlotRequest,
+    request: &peers::BatchSlotRequest,
 ) -> Vec<peers::BorrowedSlot> {
     if context.is_leaving() {
         return Vec::new();
@@ -158,7 +158,7 @@
     let now = context.clock.now();
     let mut permits = context.permits.borrow_mut();
     let shunned = permits.shunned(&context.loads.borrow(), now);
-    let lent = permits.lend_batch(ask, &shunned, now);
+    let lent = permits.lend_batch(request, &shunned, now);
     let lent = lent.into_iter();
     let slots = lent.map(|(endpoint, number)| peers::BorrowedSlot { endpoint, number });
     slots.collect()
@@ -167,23 +167,23 @@
 /// Gives a place at an owned endpoint, and takes batch streams back for it.
 pub fn grant(
     context: &rc::Rc<context::ProcessContext>,
-    ask: &peers::OnlineSlotRequest,
+    request: &peers::OnlineSlotRequest,
 ) -> peers::OnlineSlotResponse {
     let now = context.clock.now();
     let mut permits = context.permits.borrow_mut();
     let shunned = permits.shunned(&context.loads.borrow(), now);
-    let granted = permits.acquire(ask, &shunned, now);
-    let owns = permits.owns(&ask.service);
-    let free_slots = permits.free_online_slots(&ask.service);
-    let free_queue_slots = permits.free_queue_slots(&ask.service, ask.wait);
-    let denial = granted.is_none().then(|| permits.denial(ask, now));
+    let granted = permits.acquire(request, &shunned, now);
+    let owns = permits.owns(&request.service);
+    let free_slots = permits.free_online_slots(&request.service);
+    let free_queue_slots = permits.free_queue_slots(&request.service, request.wait);
+    let denial = granted.is_none().then(|| permits.denial(request, now));
     drop(permits);
     if let Some(denial) = denial {
         log::info!(
             "event=place_denied service={} asker={} may_queue={} {denial}",
-            ask.service,
-            ask.holder,
-            ask.may_queue,
+            request.service,
+            request.holder,
+            request.may_queue,
         );
     }
     let endpoint = granted.map(|slot| {
--- a/src/serving/peer_links.rs
+++ b/src/serving/peer_links.rs
@@ -9,7 +9,7 @@
     directory, job_records, members,
     peers::{
         BatchSlotRequest, BorrowedSlot, EndpointReport, OnlineSlotRequest, OnlineSlotResponse,
-        PeerHello, PeerServiceClient, ResultAsk, SlotRelease, WriteOutcome,
+        PeerHello, PeerServiceClient, ResultRequest, SlotRelease, WriteOutcome,
     },
     permits, progress_transfer, state_snapshot, wire,
     workspaces::limit_messages,
@@ -192,10 +192,10 @@
     pub async fn draw_tokens(
         &self,
         peer: net::SocketAddr,
-        ask: limit_messages::GrantAsk,
+        request: limit_messages::TokenRequest,
         timeout: time::Duration,
-    ) -> Result<limit_messages::GrantAnswer, PeerError> {
-        call_peer!(self, peer, timeout, draw_tokens(ask))
+    ) -> Result<limit_messages::TokenResponse, PeerError> {
+        call_peer!(self, peer, timeout, draw_tokens(request))
     }
 
     /// Asks an owner for a place.
@@ -205,10 +205,10 @@
     pub async fn acquire(
         &self,
         peer: net::SocketAddr,
-        ask: OnlineSlotRequest,
+        request: OnlineSlotRequest,
         timeout: time::Duration,
     ) -> Result<OnlineSlotResponse, PeerError> {
-        call_peer!(self, peer, timeout, acquire(ask))
+        call_peer!(self, peer, timeout, acquire(request))
     }
 
     /// Gives a place back, also where its owner is out of reach for a while: the place is
@@ -251,10 +251,10 @@
     pub async fn state_part(
         &self,
         peer: net::SocketAddr,
-        ask: state_snapshot::StatePartRequest,
+        request: state_snapshot::StatePartRequest,
         timeout: time::Duration,
     ) -> Result<state_snapshot::StatePart, PeerError> {
-        call_peer!(self, peer, timeout, state_part(ask))
+        call_peer!(self, peer, timeout, state_part(request))
     }
 
     /// Asks for the list of endpoints, and waits as long as something comes on the
@@ -333,10 +333,10 @@
     pub async fn read_results(
         &self,
         peer: net::SocketAddr,
-        ask: ResultAsk,
+        request: ResultRequest,
         timeout: time::Duration,
     ) -> Result<wire::ResultPage, PeerError> {
-        call_peer!(self, peer, timeout, read_results(ask))
+        call_peer!(self, peer, timeout, read_results(request))
     }
 
     /// Tells that a job was ended; the mark in the store says the same.
@@ -351,10 +351,10 @@
     pub async fn lend(
         &self,
         peer: net::SocketAddr,
-        ask: BatchSlotRequest,
+        request: BatchSlotRequest,
         timeout: time::Duration,
     ) -> Result<Vec<BorrowedSlot>, PeerError> {
-        call_peer!(self, peer, timeout, lend(ask))
+        call_peer!(self, peer, timeout, lend(request))
     }
 
     /// Gives a place of a batch stream back, also where its owner is out of reach for a while.
--- a/src/serving/peer_server.rs
+++ b/src/serving/peer_server.rs
@@ -11,7 +11,7 @@
     peer_links::{frames, RECONNECT_PAUSE},
     peers::{
         BatchSlotRequest, BorrowedSlot, EndpointReport, OnlineSlotRequest, OnlineSlotResponse,
-        PeerCall, PeerHello, PeerService, ResultAsk, SlotRelease, WriteOutcome,
+        PeerCall, PeerHello, PeerService, ResultRequest, SlotRelease, WriteOutcome,
     },
     progress_transfer, state_snapshot, wire,
     workspaces::limit_messages,
@@ -29,7 +29,10 @@
 
 impl PeerServer {
     /// Hands a call over and waits for its answer; nothing if the process ends.
-    async fn ask<T>(&self, call: impl FnOnce(oneshot::Sender<T>) -> PeerCall) -> Option<T> {
+    async fn send_request<T>(
+        &self,
+        call: impl FnOnce(oneshot::Sender<T>) -> PeerCall,
+    ) -> Option<T> {
         let (reply, response) = oneshot::channel();
         self.ring.send(call(reply)).await.ok()?;
         response.await.ok()
@@ -45,15 +48,17 @@
 
 impl PeerService for PeerServer {
     async fn probe(self, _: tarpc::context::Context, hello: PeerHello) -> Option<PeerHello> {
-        self.ask(|reply| PeerCall::Probe(hello, reply)).await
+        self.send_request(|reply| PeerCall::Probe(hello, reply))
+            .await
     }
 
     async fn acquire(
         self,
         _: tarpc::context::Context,
-        ask: OnlineSlotRequest,
+        request: OnlineSlotRequest,
     ) -> Option<OnlineSlotResponse> {
-        self.ask(|reply| PeerCall::Acquire(ask, reply)).await
+        self.send_request(|reply| PeerCall::Acquire(request, reply))
+            .await
     }
 
     async fn release(self, _: tarpc::context::Context, release: SlotRelease) {
@@ -67,9 +72,10 @@
     async fn state_part(
         self,
         _: tarpc::context::Context,
-        ask: state_snapshot::StatePartRequest,
+        request: state_snapshot::StatePartRequest,
     ) -> Option<state_snapshot::StatePart> {
-        self.ask(|reply| PeerCall::StatePart(ask, reply)).await
+        self.send_request(|reply| PeerCall::StatePart(request, reply))
+            .await
     }
 
     async fn crash_news(self, _: tarpc::context::Context, update: crash_ledger::CrashUpdate) {
@@ -77,15 +83,15 @@
     }
 
     async fn crashes(self, _: tarpc::context::Context) -> Option<Vec<crash_ledger::CrashUpdate>> {
-        self.ask(PeerCall::Crashes).await
+        self.send_request(PeerCall::Crashes).await
     }
 
     async fn endpoints(self, _: tarpc::context::Context) -> Option<directory::DirectorySnapshot> {
-        self.ask(PeerCall::Endpoints).await
+        self.send_request(PeerCall::Endpoints).await
     }
 
     async fn members(self, _: tarpc::context::Context) -> Option<Vec<members::MemberRecord>> {
-        self.ask(PeerCall::Members).await
+        self.send_request(PeerCall::Members).await
     }
 
     async fn take_job(
@@ -93,11 +99,13 @@
         _: tarpc::context::Context,
         record: job_records::JobRecord,
     ) -> Option<bool> {
-        self.ask(|reply| PeerCall::TakeJob(record, reply)).await
+        self.send_request(|reply| PeerCall::TakeJob(record, reply))
+            .await
     }
 
     async fn find_job(self, _: tarpc::context::Context, job: ids::JobId) -> Option<bool> {
-        self.ask(|reply| PeerCall::FindJob(job, reply)).await
+        self.send_request(|reply| PeerCall::FindJob(job, reply))
+            .await
     }
 
     async fn keep_progress(
@@ -105,15 +113,17 @@
         _: tarpc::context::Context,
         part: progress_transfer::ProgressPart,
     ) -> Option<bool> {
-        self.ask(|reply| PeerCall::KeepProgress(part, reply)).await
+        self.send_request(|reply| PeerCall::KeepProgress(part, reply))
+            .await
     }
 
     async fn read_results(
         self,
         _: tarpc::context::Context,
-        ask: ResultAsk,
+        request: ResultRequest,
     ) -> Option<wire::ResultPage> {
-        self.ask(|reply| PeerCall::ReadResults(ask, reply)).await
+        self.send_request(|reply| PeerCall::ReadResults(request, reply))
+            .await
     }
 
     async fn end_job(self, _: tarpc::context::Context, job: ids::JobId) {
@@ -123,9 +133,10 @@
     async fn lend(
         self,
         _: tarpc::context::Context,
-        ask: BatchSlotRequest,
+        request: BatchSlotRequest,
     ) -> Option<Vec<BorrowedSlot>> {
-        self.ask(|reply| PeerCall::Lend(ask, reply)).await
+        self.send_request(|reply| PeerCall::Lend(request, reply))
+            .await
     }
 
     async fn give_back(self, _: tarpc::context::Context, slot: BorrowedSlot) {
@@ -145,19 +156,22 @@
         _: tarpc::context::Context,
         record: job_records::JobRecord,
     ) -> Option<WriteOutcome> {
-        self.ask(|reply| PeerCall::WriteJob(record, reply)).await
+        self.send_request(|reply| PeerCall::WriteJob(record, reply))
+            .await
     }
 
     async fn draw_tokens(
         self,
         _: tarpc::context::Context,
-        ask: limit_messages::GrantAsk,
-    ) -> Option<limit_messages::GrantAnswer> {
-        self.ask(|reply| PeerCall::DrawTokens(ask, reply)).await
+        request: limit_messages::TokenRequest,
+    ) -> Option<limit_messages::TokenResponse> {
+        self.send_request(|reply| PeerCall::DrawTokens(request, reply))
+            .await
     }
 
     async fn write_end(self, _: tarpc::context::Context, job: ids::JobId) -> Option<WriteOutcome> {
-        self.ask(|reply| PeerCall::WriteEnd(job, reply)).await
+        self.send_request(|reply| PeerCall::WriteEnd(job, reply))
+            .await
     }
 }
 
--- a/src/serving/peers.rs
+++ b/src/serving/peers.rs
@@ -152,7 +152,7 @@
 
 /// A request for results of a job.
 #[derive(Debug, Clone, serde::Serialize, serde::Deserialize)]
-pub struct ResultAsk {
+pub struct ResultRequest {
     /// The job.
     pub job: ids::JobId,
     /// First position wanted.
@@ -167,7 +167,7 @@
     /// Exchanges heartbeats.
     async fn probe(hello: PeerHello) -> Option<PeerHello>;
     /// Asks for a place for an online request.
-    async fn acquire(ask: OnlineSlotRequest) -> Option<OnlineSlotResponse>;
+    async fn acquire(request: OnlineSlotRequest) -> Option<OnlineSlotResponse>;
     /// Gives a place back.
     async fn release(release: SlotRelease);
     /// Tells of a failure at an endpoint.
@@ -177,8 +177,9 @@
     /// Asks for all that the peer knows of such requests.
     async fn crashes() -> Option<Vec<crash_ledger::CrashUpdate>>;
     /// Asks for a part of the desired state.
-    async fn state_part(ask: state_snapshot::StatePartRequest)
-        -> Option<state_snapshot::StatePart>;
+    async fn state_part(
+        request: state_snapshot::StatePartRequest,
+    ) -> Option<state_snapshot::StatePart>;
     /// Asks for the list of endpoints.
     async fn endpoints() -> Option<directory::DirectorySnapshot>;
     /// Asks for the processes that the peer knows.
@@ -192,11 +193,11 @@
     /// came before.
     async fn keep_progress(part: progress_transfer::ProgressPart) -> Option<bool>;
     /// Reads committed results.
-    async fn read_results(ask: ResultAsk) -> Option<wire::ResultPage>;
+    async fn read_results(request: ResultRequest) -> Option<wire::ResultPage>;
     /// Tells that a job was ended.
     async fn end_job(job: ids::JobId);
     /// Asks for places for batch streams.
-    async fn lend(ask: BatchSlotRequest) -> Option<Vec<BorrowedSlot>>;
+    async fn lend(request: BatchSlotRequest) -> Option<Vec<BorrowedSlot>>;
     /// Gives a place of a batch stream back.
     async fn give_back(slot: BorrowedSlot);
     /// Gives all places back that were lent to a question whose answer did not come.
@@ -208,7 +209,9 @@
     /// Asks a peer to write the end of a job to the store.
     async fn write_end(job: ids::JobId) -> Option<WriteOutcome>;
     /// Asks a keeper for tokens of a workspace, or a gateway to ask it.
-    async fn draw_tokens(ask: limit_messages::GrantAsk) -> Option<limit_messages::GrantAnswer>;
+    async fn draw_tokens(
+        request: limit_messages::TokenRequest,
+    ) -> Option<limit_messages::TokenResponse>;
 }
 
 /// A call of a peer, and where its answer goes.
@@ -241,7 +244,7 @@
     /// See [`PeerService::keep_progress`].
     KeepProgress(progress_transfer::ProgressPart, oneshot::Sender<bool>),
     /// See [`PeerService::read_results`].
-    ReadResults(ResultAsk, oneshot::Sender<wire::ResultPage>),
+    ReadResults(ResultRequest, oneshot::Sender<wire::ResultPage>),
     /// See [`PeerService::end_job`].
     EndJob(ids::JobId),
     /// See [`PeerService::lend`].
@@ -258,7 +261,7 @@
     WriteEnd(ids::JobId, oneshot::Sender<WriteOutcome>),
     /// See [`PeerService::draw_tokens`].
     DrawTokens(
-        limit_messages::GrantAsk,
-        oneshot::Sender<limit_messages::GrantAnswer>,
+        limit_messages::TokenRequest,
+        oneshot::Sender<limit_messages::TokenResponse>,
     ),
 }
--- a/src/serving/permits.rs
+++ b/src/serving/permits.rs
@@ -91,7 +91,7 @@
 struct SlotBorrower {
     holder: ids::InstanceRun,
     /// Number of the question that it was lent to.
-    ask: u64,
+    request: u64,
 }
 
 /// The ledgers of the owned endpoints.
@@ -223,16 +223,16 @@
     /// with the fewest online requests gives one up.
     pub fn acquire(
         &mut self,
-        ask: &peers::OnlineSlotRequest,
+        request: &peers::OnlineSlotRequest,
         shunned: &collections::HashSet<ids::EndpointId>,
         now: clock::MonotonicTime,
     ) -> Option<GrantedSlot> {
-        if self.take_returned(ask.number) {
+        if self.take_returned(request.number) {
             return None;
         }
         let usable = self
-            .of_service(&ask.service)
-            .filter(|owned| !ask.tried.contains(&owned.entry.id));
+            .of_service(&request.service)
+            .filter(|owned| !request.tried.contains(&owned.entry.id));
         let best = usable.min_by_key(|owned| {
             let full = owned.free() <= 0;
             let load = match full {
@@ -243,25 +243,26 @@
                 shunned.contains(&owned.entry.id),
                 full,
                 load,
-                owned.entry.domain != ask.domain,
+                owned.entry.domain != request.domain,
                 owned.entry.id.clone(),
             )
         })?;
         let is_free = best.free_online_slots() > 0;
-        let may_wait = ask.may_queue && best.free_queue_slots(self.queue_of(best, ask.wait)) > 0;
+        let may_wait =
+            request.may_queue && best.free_queue_slots(self.queue_of(best, request.wait)) > 0;
         if !is_free && !may_wait {
             return None;
         }
         let endpoint = best.entry.id.clone();
         let owned = self.ledgers.get_mut(&endpoint)?;
-        let grant = owned.ledger.request_permit(ask.number, now)?;
+        let grant = owned.ledger.request_permit(request.number, now)?;
         let holder = PermitHolder {
             endpoint: endpoint.clone(),
-            holder: ask.holder.clone(),
+            holder: request.holder.clone(),
             expiry: now + PERMIT_TTL,
             begun: is_free.then_some(now),
         };
-        self.holders.insert(ask.number, holder);
+        self.holders.insert(request.number, holder);
         Some(GrantedSlot {
             endpoint,
             preempted: grant.preempt,
@@ -269,13 +270,19 @@
     }
 
     /// What stands in the way of a request that got no place.
-    pub fn denial(&self, ask: &peers::OnlineSlotRequest, now: clock::MonotonicTime) -> SlotDenial {
+    pub fn denial(
+        &self,
+        request: &peers::OnlineSlotRequest,
+        now: clock::MonotonicTime,
+    ) -> SlotDenial {
         let ledgers = self.ledgers.values();
-        let owned: Vec<_> = ledgers.filter(|o| o.entry.service == ask.service).collect();
-        let is_unwanted = |owned: &&&OwnedLedger| ask.tried.contains(&owned.entry.id);
+        let owned: Vec<_> = ledgers
+            .filter(|o| o.entry.service == request.service)
+            .collect();
+        let is_unwanted = |owned: &&&OwnedLedger| request.tried.contains(&owned.entry.id);
         let is_here = |h: &&PermitHolder| {
             let ledger = self.ledgers.get(&h.endpoint);
-            ledger.is_some_and(|o| o.entry.service == ask.service)
+            ledger.is_some_and(|o| o.entry.service == request.service)
         };
         let held: Vec<_> = self.holders.values().filter(is_here).collect();
         let holders: collections::HashSet<_> = held.iter().map(|h| &h.holder).collect();
@@ -285,7 +292,7 @@
         SlotDenial {
             endpoints: owned.len(),
             unwanted: owned.iter().filter(is_unwanted).count(),
-            closed: owned.len() - self.of_service(&ask.service).count(),
+            closed: owned.len() - self.of_service(&request.service).count(),
             online: owned.iter().map(|o| o.ledger.online()).sum(),
             holders: holders.len(),
             oldest: ages.max().unwrap_or_default(),
@@ -370,22 +377,22 @@
     /// Batch streams that a peer may begin, up to the number that it asks for.
     pub fn lend_batch(
         &mut self,
-        ask: &peers::BatchSlotRequest,
+        request: &peers::BatchSlotRequest,
         shunned: &collections::HashSet<ids::EndpointId>,
         now: clock::MonotonicTime,
     ) -> Vec<(ids::EndpointId, admission::StreamNumber)> {
         let mut lent = Vec::new();
-        if self.take_returned(ask.number) {
+        if self.take_returned(request.number) {
             return lent;
         }
-        while lent.len() < ask.count {
-            let Some((entry, number)) = self.begin_batch(&ask.service, shunned, now) else {
+        while lent.len() < request.count {
+            let Some((entry, number)) = self.begin_batch(&request.service, shunned, now) else {
                 break;
             };
             let key = (entry.id.clone(), number);
             let borrower = SlotBorrower {
-                holder: ask.holder.clone(),
-                ask: ask.number,
+                holder: request.holder.clone(),
+                request: request.number,
             };
             self.lent.insert(key.clone(), borrower);
             lent.push(key);
@@ -395,11 +402,11 @@
 
     /// Ends the batch streams that were lent to a question whose answer did not come. The
     /// word of it may overtake the question.
-    pub fn cancel_lent(&mut self, ask: u64) {
-        let lent = self.lent.iter().filter(|(_, b)| b.ask == ask);
+    pub fn cancel_lent(&mut self, request: u64) {
+        let lent = self.lent.iter().filter(|(_, b)| b.request == request);
         let lent: Vec<_> = lent.map(|(key, _)| key.clone()).collect();
         if lent.is_empty() {
-            self.returned.put(ask, ());
+            self.returned.put(request, ());
         }
         for (endpoint, number) in lent {
             self.end_batch(&endpoint, number);
--- a/src/serving/slots.rs
+++ b/src/serving/slots.rs
@@ -145,10 +145,10 @@
     context: &rc::Rc<context::ProcessContext>,
     request: &SlotParams<'_>,
 ) -> Result<HeldSlot, SlotUnavailable> {
-    if let Some(slot) = ask_relay(context, request, true).await {
+    if let Some(slot) = request_from_relay(context, request, true).await {
         return Ok(slot);
     }
-    match ask_owners(context, request).await {
+    match query_owners(context, request).await {
         OwnerReply::Slot(slot) => Ok(slot),
         OwnerReply::None(SlotReply::Full(_)) => Err(SlotUnavailable::Full),
         OwnerReply::None(_) => go_ahead(context, request.service, request.tried),
@@ -167,7 +167,7 @@
     let mut replies = Vec::new();
     for owner in owners.iter().take(OWNERS_ASKED) {
         let slot = online_slot_request(context, request);
-        match ask(context, owner, slot).await {
+        match send_request(context, owner, slot).await {
             OwnerReply::Slot(slot) => return Ok(slot),
             OwnerReply::None(word) => replies.push((word, owner)),
         }
@@ -190,7 +190,7 @@
 }
 
 /// Asks a few owners for a free place, and if all are full for one in a queue.
-async fn ask_owners(
+async fn query_owners(
     context: &rc::Rc<context::ProcessContext>,
     request: &SlotParams<'_>,
 ) -> OwnerReply {
@@ -215,7 +215,7 @@
             may_queue: true,
             ..online_slot_request(context, request)
         };
-        if let OwnerReply::Slot(slot) = ask(context, owner, queued).await {
+        if let OwnerReply::Slot(slot) = send_request(context, owner, queued).await {
             return OwnerReply::Slot(slot);
         }
     }
@@ -306,21 +306,21 @@
 }
 
 /// Asks an owner through a gateway that hears it, if this process is cut off.
-pub(super) async fn ask_relay(
+pub(super) async fn request_from_relay(
     context: &rc::Rc<context::ProcessContext>,
     request: &SlotParams<'_>,
     may_queue: bool,
 ) -> Option<HeldSlot> {
     let relays = context.relays();
     let relay = relays.get(rand::random_range(0..relays.len().max(1)))?;
-    let ask = peers::OnlineSlotRequest {
+    let request = peers::OnlineSlotRequest {
         may_queue,
         ..online_slot_request(context, request)
     };
-    let permit = HeldPermit::Peer(relay.address, ask.number);
+    let permit = HeldPermit::Peer(relay.address, request.number);
     match context
         .links
-        .acquire(relay.address, ask, OWNER_TIMEOUT * 2)
+        .acquire(relay.address, request, OWNER_TIMEOUT * 2)
         .await
     {
         Ok(response) => take_answer(context, &relay.id, response, permit),
@@ -333,20 +333,20 @@
 }
 
 /// Asks the owners for a peer that is cut off from them.
-pub async fn ask_for_peer(
+pub async fn request_for_peer(
     context: &rc::Rc<context::ProcessContext>,
-    mut ask: peers::OnlineSlotRequest,
+    mut request: peers::OnlineSlotRequest,
 ) -> Option<peers::OnlineSlotResponse> {
     // The owners do not hear the peer, and would take its places back.
-    ask.holder = context.run.clone();
-    let number = ask.number;
-    let owners = owner_order(context, &ask.service);
+    request.holder = context.run.clone();
+    let number = request.number;
+    let owners = owner_order(context, &request.service);
     for owner in owners.iter().take(OWNERS_ASKED) {
         let address = context.members.borrow().address_of(owner);
         let Some(address) = address else { continue };
         let response = context
             .links
-            .acquire(address, ask.clone(), OWNER_TIMEOUT)
+            .acquire(address, request.clone(), OWNER_TIMEOUT)
             .await;
         match response {
             Ok(response) if response.endpoint.is_some() => {
@@ -366,20 +366,23 @@
     None
 }
 
-async fn ask(
+async fn send_request(
     context: &rc::Rc<context::ProcessContext>,
     owner: &ids::InstanceId,
-    ask: peers::OnlineSlotRequest,
+    request: peers::OnlineSlotRequest,
 ) -> OwnerReply {
-    let number = ask.number;
-    let service = &ask.service.clone();
+    let number = request.number;
+    let service = &request.service.clone();
     let (response, permit) = if owner == context.id() {
-        (peer_calls::grant(context, &ask), HeldPermit::Here(number))
+        (
+            peer_calls::grant(context, &request),
+            HeldPermit::Here(number),
+        )
     } else {
         let Some(address) = context.members.borrow().address_of(owner) else {
             return OwnerReply::None(SlotReply::Silent);
         };
-        match context.links.acquire(address, ask, OWNER_TIMEOUT).await {
+        match context.links.acquire(address, request, OWNER_TIMEOUT).await {
             Ok(response) => (response, HeldPermit::Peer(address, number)),
             Err(e) => {
                 count_permit(context, "silent");
--- a/src/serving/slow_attempt.rs
+++ b/src/serving/slow_attempt.rs
@@ -265,7 +265,7 @@
     async fn next_slot(&mut self, relay: &relay::RequestRelay) -> FoundSlot {
         loop {
             Self::delay(relay).await;
-            let Some(slot) = self.ask(relay).await else {
+            let Some(slot) = self.send_request(relay).await else {
                 // Those that refused or failed may take it in the next round.
                 self.passed_over = vec![self.slow.clone()];
                 continue;
@@ -292,7 +292,7 @@
     }
 
     /// Asks once. An answer that comes too late is taken, and its place given back.
-    async fn ask(&self, relay: &relay::RequestRelay) -> Option<slots::HeldSlot> {
+    async fn send_request(&self, relay: &relay::RequestRelay) -> Option<slots::HeldSlot> {
         let service = relay.choose_service()?;
         let may_queue = self
             .queue_from
@@ -383,7 +383,7 @@
         return asked.map_err(|_| slots::SlotUnavailable::Full);
     }
     if !context.relays().is_empty() {
-        let asked = slots::ask_relay(context, request, false).await;
+        let asked = slots::request_from_relay(context, request, false).await;
         return asked.ok_or(slots::SlotUnavailable::Full);
     }
     slots::go_ahead(context, request.service, request.tried)
--- a/src/serving/state_snapshot.rs
+++ b/src/serving/state_snapshot.rs
@@ -149,10 +149,10 @@
     /// The state cannot be encoded.
     pub fn part(
         &self,
-        ask: StatePartRequest,
+        request: StatePartRequest,
         newest: &route_table::DesiredState,
     ) -> Result<StatePart, CopyError> {
-        if let StatePartRequest::Next(id, offset) = ask {
+        if let StatePartRequest::Next(id, offset) = request {
             if let Some(copy) = self.find(|copy| copy.id == id) {
                 return Ok(copy.part(offset));
             }
--- a/src/serving/state_transfer.rs
+++ b/src/serving/state_transfer.rs
@@ -97,9 +97,9 @@
     async fn step(&mut self, peer: net::SocketAddr) -> NextStep {
         let links = self.context.links.clone();
         links.settle(peer).await;
-        let ask = self.incoming().next_request();
+        let request = self.incoming().next_request();
         let asked = clock::BootInstant::now();
-        match links.state_part(peer, ask, PART_TIMEOUT).await {
+        match links.state_part(peer, request, PART_TIMEOUT).await {
             Ok(part) => self.take_part(peer, part, asked.elapsed()),
             Err(e) => self.pass_over(peer, e),
         }
--- a/src/serving/workspaces/limit_messages.rs
+++ b/src/serving/workspaces/limit_messages.rs
@@ -39,7 +39,7 @@
 
 /// A request for tokens of a workspace.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct GrantAsk {
+pub struct TokenRequest {
     /// The workspace.
     pub workspace: ids::WorkspaceId,
     /// Tokens that can be used.
@@ -48,7 +48,7 @@
 
 /// The answer to a request for tokens.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub enum GrantAnswer {
+pub enum TokenResponse {
     /// So many tokens, at least one.
     Tokens(u32),
     /// None; there is one again after so many milliseconds.
@@ -57,7 +57,7 @@
     NotKeeper,
 }
 
-impl From<token_pools::Grant> for GrantAnswer {
+impl From<token_pools::Grant> for TokenResponse {
     fn from(grant: token_pools::Grant) -> Self {
         match grant {
             token_pools::Grant::Tokens(count) => Self::Tokens(count),
--- a/src/serving/workspaces/limiter.rs
+++ b/src/serving/workspaces/limiter.rs
@@ -27,11 +27,11 @@
     fn quota_servers(&self, workspace: &ids::WorkspaceId) -> Vec<ids::InstanceId>;
 
     /// Asks a keeper for tokens; nothing if it does not answer.
-    fn ask(
+    fn send_request(
         &self,
         quota_server: ids::InstanceId,
-        ask: limit_messages::GrantAsk,
-    ) -> future::LocalBoxFuture<'_, Option<limit_messages::GrantAnswer>>;
+        request: limit_messages::TokenRequest,
+    ) -> future::LocalBoxFuture<'_, Option<limit_messages::TokenResponse>>;
 }
 
 /// Whether a request may be served.
@@ -136,7 +136,7 @@
     ) {
         let guard = FlightGuard::begin(self, workspace);
         let denial = match self
-            .ask_keepers(workspace, source, clock, &guard.flight)
+            .query_quota_servers(workspace, source, clock, &guard.flight)
             .await
         {
             Ok(()) => return,
@@ -150,7 +150,7 @@
     ///
     /// # Errors
     /// None of them gave a token.
-    async fn ask_keepers(
+    async fn query_quota_servers(
         &self,
         workspace: &ids::WorkspaceId,
         source: &dyn GrantSource,
@@ -165,8 +165,11 @@
                 let wanted = self.wanted(workspace, flight);
                 let workspace = workspace.clone();
                 let asked_at = clock.now();
-                let ask = source.ask(quota_server, limit_messages::GrantAsk { workspace, wanted });
-                asks.push(ask.map(move |response| (response, asked_at)));
+                let request = source.send_request(
+                    quota_server,
+                    limit_messages::TokenRequest { workspace, wanted },
+                );
+                asks.push(request.map(move |response| (response, asked_at)));
             }
             if asks.is_empty() {
                 return Err(denial);
@@ -175,14 +178,14 @@
             tokio::select! {
                 biased;
                 Some((response, asked_at)) = asks.next() => match response {
-                    Some(limit_messages::GrantAnswer::Tokens(count)) => {
+                    Some(limit_messages::TokenResponse::Tokens(count)) => {
                         self.cache.borrow_mut().put(workspace, count, asked_at);
                         return Ok(());
                     }
-                    Some(limit_messages::GrantAnswer::Empty(ms)) => {
+                    Some(limit_messages::TokenResponse::Empty(ms)) => {
                         denial = sooner(denial, time::Duration::from_millis(ms.into()));
                     }
-                    Some(limit_messages::GrantAnswer::NotKeeper) | None => {}
+                    Some(limit_messages::TokenResponse::NotKeeper) | None => {}
                 },
                 () = tokio::time::sleep(HEDGE_PAUSE), if !is_last => {}
             }
--- a/tests/endpoint_runs.rs
+++ b/tests/endpoint_runs.rs
@@ -186,7 +186,7 @@
     board
 }
 
-fn ask(number: u64) -> peers::OnlineSlotRequest {
+fn request(number: u64) -> peers::OnlineSlotRequest {
     peers::OnlineSlotRequest {
         number,
         holder: ids::InstanceRun {
@@ -206,7 +206,7 @@
     let none = std::collections::HashSet::new();
     let mut board = board(&[entry("a", 1, None)]);
     let granted = |board: &mut permits::PermitBoard, number, now| {
-        board.acquire(&ask(number), &none, now).is_some()
+        board.acquire(&request(number), &none, now).is_some()
     };
     assert!(granted(&mut board, 1, at(0)));
     board.record_refused(&id("a"), at(0));
@@ -245,14 +245,14 @@
     let mut board = board(&[entry("a", 1, None), entry("b", 1, None)]);
     board.set_doubtful(directory.doubtful().clone());
     for number in 0..2 {
-        assert!(board.acquire(&ask(number), &none, at(0)).is_some());
+        assert!(board.acquire(&request(number), &none, at(0)).is_some());
     }
-    assert!(board.acquire(&ask(2), &none, at(0)).is_none());
+    assert!(board.acquire(&request(2), &none, at(0)).is_none());
     assert!(board.begin_batch(&service(), &none, at(0)).is_none());
     assert!(directory.record_named(&id("b")));
     assert!(directory.record_misnamed(&id("a"), None, at(0)));
     board.set_doubtful(directory.doubtful().clone());
-    assert!(board.acquire(&ask(3), &none, at(0)).is_some());
+    assert!(board.acquire(&request(3), &none, at(0)).is_some());
     assert!(directory.retry_misnamed(at(1000)));
     assert!(
         directory.doubtful().contains(&id("a")),
@@ -266,12 +266,12 @@
     let none = std::collections::HashSet::new();
     let mut board = board(&[entry("a", 1, Some(5))]);
     for number in 0..4 {
-        assert!(board.acquire(&ask(number), &none, at(0)).is_some());
+        assert!(board.acquire(&request(number), &none, at(0)).is_some());
     }
-    assert!(board.acquire(&ask(4), &none, at(0)).is_none());
+    assert!(board.acquire(&request(4), &none, at(0)).is_none());
     let again = rc::Rc::new(entry("a", 1, Some(6)));
     assert_eq!(board.set_owned(std::slice::from_ref(&again)), [id("a")]);
-    assert!(board.acquire(&ask(5), &none, at(0)).is_some());
+    assert!(board.acquire(&request(5), &none, at(0)).is_some());
     // What is given back of the run before adds no room.
     board.release(0);
     assert_eq!(board.free_online_slots(&service()), 3);
--- a/tests/slots.rs
+++ b/tests/slots.rs
@@ -33,7 +33,7 @@
     "s".parse().expect("a name")
 }
 
-fn ask_of(holder: ids::InstanceRun, number: u64) -> peers::OnlineSlotRequest {
+fn slot_request(holder: ids::InstanceRun, number: u64) -> peers::OnlineSlotRequest {
     peers::OnlineSlotRequest {
         number,
         holder,
@@ -58,11 +58,13 @@
 fn a_place_that_was_given_back_before_it_was_asked_for_is_not_given() {
     let mut board = board(&[entry("a", "z")]);
     let now = clock::MonotonicTime(1);
-    let ask = |number| ask_of(run("g"), number);
+    let request = |number| slot_request(run("g"), number);
     assert_eq!(board.release(7), None);
-    assert_eq!(board.acquire(&ask(7), &Default::default(), now), None);
+    assert_eq!(board.acquire(&request(7), &Default::default(), now), None);
     assert!(board.is_empty(), "nobody holds anything");
-    assert!(board.acquire(&ask(8), &Default::default(), now).is_some());
+    assert!(board
+        .acquire(&request(8), &Default::default(), now)
+        .is_some());
     assert!(board.release(8).is_some());
 }
 
@@ -80,12 +82,12 @@
     let mut preempted = 0;
     let mut acquire = |numbers: std::ops::Range<u64>, may_queue| {
         let granted = numbers.filter(|number| {
-            let ask = peers::OnlineSlotRequest {
+            let request = peers::OnlineSlotRequest {
                 may_queue,
                 wait: time::Duration::from_millis(200),
-                ..ask_of(holder.clone(), *number)
+                ..slot_request(holder.clone(), *number)
             };
-            let slot = board.acquire(&ask, &none, now);
+            let slot = board.acquire(&request, &none, now);
             preempted += slot.as_ref().map_or(0, |p| p.preempted.len());
             slot.is_some()
         });
@@ -139,7 +141,7 @@
         ..run("g")
     });
     assert!(board
-        .acquire(&ask_of(first.clone(), 1), &none, now)
+        .acquire(&slot_request(first.clone(), 1), &none, now)
         .is_some());
     assert_eq!(
         board
@@ -148,7 +150,7 @@
         1
     );
     assert!(board
-        .acquire(&ask_of(next.clone(), 2), &none, now)
+        .acquire(&slot_request(next.clone(), 2), &none, now)
         .is_some());
     assert_eq!(board.release_ended(|holder| *holder == first), 2);
     assert_eq!(board.totals(), (1, 0));
@@ -162,16 +164,16 @@
     let now = clock::MonotonicTime(1);
     let none = Default::default();
     for number in 0..4 {
-        let mut ask = ask_of(run("g"), number);
-        ask.tried = vec!["b".parse().expect("a name")];
-        assert!(board.acquire(&ask, &none, now).is_some());
+        let mut request = slot_request(run("g"), number);
+        request.tried = vec!["b".parse().expect("a name")];
+        assert!(board.acquire(&request, &none, now).is_some());
     }
     board.record_refused(&"b".parse().expect("a name"), now);
     let later = now + time::Duration::from_millis(40);
-    let mut ask = ask_of(run("h"), 9);
-    ask.tried = vec!["a".parse().expect("a name")];
-    assert_eq!(board.acquire(&ask, &none, later), None);
-    let denial = board.denial(&ask, later).to_string();
+    let mut request = slot_request(run("h"), 9);
+    request.tried = vec!["a".parse().expect("a name")];
+    assert_eq!(board.acquire(&request, &none, later), None);
+    let denial = board.denial(&request, later).to_string();
     assert_eq!(
         denial,
         "endpoints=2 unwanted=1 closed=1 online=4 holders=1 oldest_ms=40"
@@ -189,14 +191,18 @@
     let none = Default::default();
     for number in 0..4 {
         assert!(board
-            .acquire(&ask_of(run("g"), number), &none, now)
+            .acquire(&slot_request(run("g"), number), &none, now)
             .is_some());
     }
-    assert!(board.acquire(&ask_of(run("g"), 5), &none, now).is_none());
+    assert!(board
+        .acquire(&slot_request(run("g"), 5), &none, now)
+        .is_none());
     let later = now + time::Duration::from_secs(16);
     board.expire(later);
     assert_eq!(board.totals(), (0, 0));
-    assert!(board.acquire(&ask_of(run("g"), 6), &none, later).is_some());
+    assert!(board
+        .acquire(&slot_request(run("g"), 6), &none, later)
+        .is_some());
 }
 
 /// An endpoint had one place less for batch work for good: the answer that lent a slot was
@@ -207,23 +213,23 @@
     let mut board = board(&[entry("a", "z")]);
     let now = clock::MonotonicTime(1);
     let none = Default::default();
-    let ask = |number| peers::BatchSlotRequest {
+    let request = |number| peers::BatchSlotRequest {
         number,
         holder: run("d"),
         service: service(),
         count: 2,
     };
-    assert_eq!(board.lend_batch(&ask(1), &none, now).len(), 2);
-    assert_eq!(board.lend_batch(&ask(2), &none, now).len(), 1);
+    assert_eq!(board.lend_batch(&request(1), &none, now).len(), 2);
+    assert_eq!(board.lend_batch(&request(2), &none, now).len(), 1);
     board.cancel_lent(1);
     assert_eq!(board.totals(), (0, 1), "those of the other question stay");
     board.cancel_lent(3);
-    let late = board.lend_batch(&ask(3), &none, now);
+    let late = board.lend_batch(&request(3), &none, now);
     assert!(
         late.is_empty(),
         "it came later than the word that nobody waits"
     );
-    assert_eq!(board.lend_batch(&ask(4), &none, now).len(), 2);
+    assert_eq!(board.lend_batch(&request(4), &none, now).len(), 2);
 }
 
 /// A request was refused as full in a calm (soak, seed 4 of 12 s): the processes had just
--- a/tests/state_snapshot.rs
+++ b/tests/state_snapshot.rs
@@ -66,7 +66,7 @@
 #[case::large(4000, 30)]
 fn a_state_arrives_whole_in_few_parts(#[case] routes: usize, #[case] most: usize) {
     let (shelf, newest) = (SnapshotCache::default(), state(7, routes));
-    let tell = |ask| shelf.part(ask, &newest).expect("it can be encoded");
+    let tell = |request| shelf.part(request, &newest).expect("it can be encoded");
     let (arrived, parts) = transfer(&mut IncomingSnapshot::default(), tell);
     assert_eq!(arrived.version, newest.version);
     assert_eq!(arrived.routes.len(), routes);
@@ -79,10 +79,10 @@
     let shelf = SnapshotCache::default();
     let mut incoming = IncomingSnapshot::default();
     let mut number = 7;
-    let tell = |ask| {
+    let tell = |request| {
         number += 1;
         shelf
-            .part(ask, &state(number, 2000))
+            .part(request, &state(number, 2000))
             .expect("it can be encoded")
     };
     let (arrived, parts) = transfer(&mut incoming, tell);
@@ -97,18 +97,20 @@
 fn a_transfer_goes_on_at_another_peer() {
     let shelves = [SnapshotCache::default(), SnapshotCache::default()];
     let newest = state(7, 2000);
-    let whole = transfer(&mut IncomingSnapshot::default(), |ask| {
-        shelves[0].part(ask, &newest).expect("it can be encoded")
+    let whole = transfer(&mut IncomingSnapshot::default(), |request| {
+        shelves[0]
+            .part(request, &newest)
+            .expect("it can be encoded")
     });
     // The second peer encodes the copy itself, when it is first asked.
     shelves[1]
         .part(StatePartRequest::First, &newest)
         .expect("it can be encoded");
     let mut turn = 0;
-    let (arrived, parts) = transfer(&mut IncomingSnapshot::default(), |ask| {
+    let (arrived, parts) = transfer(&mut IncomingSnapshot::default(), |request| {
         turn += 1;
         let shelf = &shelves[turn % 2];
-        shelf.part(ask, &newest).expect("it can be encoded")
+        shelf.part(request, &newest).expect("it can be encoded")
     });
     assert_eq!(arrived.version, newest.version);
     assert_eq!(parts, whole.1, "no part is told twice");
@@ -131,10 +133,10 @@
     for unfit in [first.clone(), other, third_of(&second)] {
         assert!(matches!(incoming.add(unfit), PartOutcome::Unfit(_)));
     }
-    let ask = StatePartRequest::Next(first.copy, PART_BYTES);
-    assert_eq!(incoming.next_request(), ask, "it goes on where it was");
-    let (arrived, _) = transfer(&mut incoming, |ask| {
-        shelf.part(ask, &newest).expect("a part")
+    let request = StatePartRequest::Next(first.copy, PART_BYTES);
+    assert_eq!(incoming.next_request(), request, "it goes on where it was");
+    let (arrived, _) = transfer(&mut incoming, |request| {
+        shelf.part(request, &newest).expect("a part")
     });
     assert_eq!(arrived.version.0, 7);
 }
