--- a/src/bench/limit_fleet/world.rs
+++ b/src/bench/limit_fleet/world.rs
@@ -8,7 +8,7 @@
 use crate::clock;
 
 /// Pause between two probes of a keeper.
-const PROBE_PAUSE: time::Duration = time::Duration::from_millis(250);
+const PROBE_INTERVAL: time::Duration = time::Duration::from_millis(250);
 /// Silence after which a keeper counts as lost.
 const SILENCE: time::Duration = time::Duration::from_millis(1500);
 /// Silence after which a keeper is asked last.
@@ -32,17 +32,17 @@
 struct ProcessFault {
     process: usize,
     kind: FaultKind,
-    span: ops::Range<time::Duration>,
+    duration: ops::Range<time::Duration>,
 }
 
 /// The fleet as it is at a moment.
 pub struct FleetWorld {
     at: time::Duration,
     gateways: usize,
-    keepers: usize,
+    quota_servers: usize,
     faults: Vec<ProcessFault>,
     /// Time of the last answered probe, by process and keeper.
-    heard: Vec<Vec<Option<time::Duration>>>,
+    last_seen: Vec<Vec<Option<time::Duration>>>,
     /// Phase of each process's probes.
     phases: Vec<time::Duration>,
 }
@@ -50,33 +50,33 @@
 impl FleetWorld {
     pub(super) fn new(plan: &LimitPlan, rng: &mut rngs::SmallRng) -> Self {
         let processes = plan.gateways + plan.dispatchers;
-        let draw_phase = |_| PROBE_PAUSE.mul_f64(rng.random());
+        let draw_phase = |_| PROBE_INTERVAL.mul_f64(rng.random());
         let phases: Vec<_> = (0..processes).map(draw_phase).collect();
         Self {
             at: time::Duration::ZERO,
             gateways: plan.gateways,
-            keepers: plan.dispatchers,
+            quota_servers: plan.dispatchers,
             faults: draw_faults(plan, rng),
-            heard: vec![vec![None; plan.dispatchers]; processes],
+            last_seen: vec![vec![None; plan.dispatchers]; processes],
             phases,
         }
     }
 
     /// The time now, by the clock of all processes.
-    pub fn now(&self) -> clock::Moment {
-        clock::Moment(self.at.as_micros() as u64)
+    pub fn now(&self) -> clock::MonotonicTime {
+        clock::MonotonicTime(self.at.as_micros() as u64)
     }
 
     /// Lets time pass, and processes probe the keepers.
     pub(super) fn advance(&mut self, at: time::Duration) {
         let before = std::mem::replace(&mut self.at, at);
-        for process in 0..self.gateways + self.keepers {
+        for process in 0..self.gateways + self.quota_servers {
             if !self.is_probing(process, before) {
                 continue;
             }
-            for keeper in 0..self.keepers {
-                if self.reaches(process, keeper) {
-                    self.heard[process][keeper] = Some(at);
+            for quota_server in 0..self.quota_servers {
+                if self.reaches(process, quota_server) {
+                    self.last_seen[process][quota_server] = Some(at);
                 }
             }
         }
@@ -88,14 +88,17 @@
     }
 
     fn is_probing(&self, process: usize, before: time::Duration) -> bool {
-        let turn =
-            |at: time::Duration| (at + self.phases[process]).as_micros() / PROBE_PAUSE.as_micros();
+        let turn = |at: time::Duration| {
+            (at + self.phases[process]).as_micros() / PROBE_INTERVAL.as_micros()
+        };
         self.is_up(process) && turn(before) != turn(self.at)
     }
 
     fn has(&self, process: usize, kinds: &[FaultKind]) -> bool {
         let mut faults = self.faults.iter();
-        faults.any(|f| f.process == process && kinds.contains(&f.kind) && f.span.contains(&self.at))
+        faults.any(|f| {
+            f.process == process && kinds.contains(&f.kind) && f.duration.contains(&self.at)
+        })
     }
 
     fn is_up(&self, process: usize) -> bool {
@@ -108,10 +111,10 @@
     }
 
     /// Whether a keeper answers a process.
-    pub fn reaches(&self, process: usize, keeper: usize) -> bool {
-        let keeper = self.gateways + keeper;
-        let sides = [process, keeper].map(|p| self.has(p, &[FaultKind::Cut]));
-        self.is_up(process) && self.is_up(keeper) && sides[0] == sides[1]
+    pub fn reaches(&self, process: usize, quota_server: usize) -> bool {
+        let quota_server = self.gateways + quota_server;
+        let sides = [process, quota_server].map(|p| self.has(p, &[FaultKind::Cut]));
+        self.is_up(process) && self.is_up(quota_server) && sides[0] == sides[1]
     }
 
     /// The keepers that a gateway knows to be alive.
@@ -120,24 +123,24 @@
     }
 
     /// The keepers that a keeper knows to be alive, itself among them.
-    pub fn seen_by_keeper(&self, keeper: usize) -> Vec<usize> {
-        let mut seen = self.seen(self.gateways + keeper);
-        if !seen.contains(&keeper) {
-            seen.push(keeper);
+    pub fn seen_by_keeper(&self, quota_server: usize) -> Vec<usize> {
+        let mut seen = self.seen(self.gateways + quota_server);
+        if !seen.contains(&quota_server) {
+            seen.push(quota_server);
             seen.sort_unstable();
         }
         seen
     }
 
     /// Whether a keeper answered a probe of a gateway within [`ASK_SILENCE`].
-    pub fn hears(&self, gateway: usize, keeper: usize) -> bool {
-        let heard = self.heard[gateway][keeper];
+    pub fn receives_from(&self, gateway: usize, quota_server: usize) -> bool {
+        let heard = self.last_seen[gateway][quota_server];
         heard.is_some_and(|at| self.at - at < ASK_SILENCE)
     }
 
     fn seen(&self, process: usize) -> Vec<usize> {
         let is_fresh = |at: &Option<time::Duration>| at.is_some_and(|at| self.at - at < SILENCE);
-        let heard = self.heard[process].iter().enumerate();
+        let heard = self.last_seen[process].iter().enumerate();
         heard
             .filter(|(_, at)| is_fresh(at))
             .map(|(k, _)| k)
@@ -150,24 +153,24 @@
     }
 
     /// Whether a keeper begins anew in the step that began so long ago.
-    pub fn keeper_begins(&self, keeper: usize, step: time::Duration) -> bool {
-        self.begins(self.gateways + keeper, step)
+    pub fn keeper_begins(&self, quota_server: usize, step: time::Duration) -> bool {
+        self.begins(self.gateways + quota_server, step)
     }
 
     fn begins(&self, process: usize, step: time::Duration) -> bool {
         let before = self.at.saturating_sub(step);
         let mut faults = self.faults.iter();
         faults.any(|f| {
-            let ended = before < f.span.end && f.span.end <= self.at;
+            let ended = before < f.duration.end && f.duration.end <= self.at;
             f.process == process && f.kind == FaultKind::Down && ended
         })
     }
 
     /// When the last fault ends that has begun.
     pub(super) fn last_fault_end(&self) -> time::Duration {
-        let begun = self.faults.iter().filter(|f| f.span.start <= self.at);
+        let begun = self.faults.iter().filter(|f| f.duration.start <= self.at);
         begun
-            .map(|f| f.span.end.min(self.at))
+            .map(|f| f.duration.end.min(self.at))
             .max()
             .unwrap_or_default()
     }
@@ -176,26 +179,26 @@
 /// The faults of a plan.
 fn draw_faults(plan: &LimitPlan, rng: &mut rngs::SmallRng) -> Vec<ProcessFault> {
     let processes = plan.gateways + plan.dispatchers;
-    let span = |from: u64, for_ms: u64| {
+    let duration = |from: u64, for_ms: u64| {
         let from = LEAD + time::Duration::from_millis(from);
         from..from + time::Duration::from_millis(for_ms)
     };
-    let fault = |process, kind, span: ops::Range<time::Duration>| ProcessFault {
+    let fault = |process, kind, duration: ops::Range<time::Duration>| ProcessFault {
         process,
         kind,
-        span,
+        duration,
     };
     match plan.scenario {
         LimitScenario::Calm | LimitScenario::Hot => Vec::new(),
         LimitScenario::Cut => {
             let cut = (0..processes).filter(|p| p % 3 == 0);
-            cut.map(|p| fault(p, FaultKind::Cut, span(5_000, 12_000)))
+            cut.map(|p| fault(p, FaultKind::Cut, duration(5_000, 12_000)))
                 .collect()
         }
         LimitScenario::Killed => {
-            let keepers = plan.gateways..processes;
-            keepers
-                .map(|p| fault(p, FaultKind::Down, span(12_000, 1_000)))
+            let quota_servers = plan.gateways..processes;
+            quota_servers
+                .map(|p| fault(p, FaultKind::Down, duration(12_000, 1_000)))
                 .collect()
         }
         LimitScenario::Mixed => {
@@ -209,7 +212,10 @@
                 let share = [0.05, 0.35, 1.0][rng.random_range(0..3)];
                 let is_hit = |_: &usize| rng.random_bool(share);
                 let hit: Vec<_> = (0..processes).filter(is_hit).collect();
-                faults.extend(hit.into_iter().map(|p| fault(p, kind, span(from, for_ms))));
+                faults.extend(
+                    hit.into_iter()
+                        .map(|p| fault(p, kind, duration(from, for_ms))),
+                );
             }
             faults
         }
--- a/src/bench/slopes.rs
+++ b/src/bench/slopes.rs
@@ -191,7 +191,7 @@
 
 fn limit_time(count: usize) -> f64 {
     let names: Vec<ids::WorkspaceId> = (0..count).map(|n| name(&format!("w-{n}"))).collect();
-    let mut board = workspace_limit::LimitBoard::default();
+    let mut board = workspace_limit::LimitTracker::default();
     let share = workspace_limit::WorkspaceShare {
         concurrency: 10,
         rate: 1e9,
@@ -200,7 +200,7 @@
     time_of(|| {
         at += 1;
         let workspace = &names[at % names.len()];
-        let admitted = board.begin(workspace, share, clock::Moment(at as u64));
+        let admitted = board.begin(workspace, share, clock::MonotonicTime(at as u64));
         if hint::black_box(admitted).is_ok() {
             board.end(workspace);
         }
@@ -242,15 +242,15 @@
 fn pool_time(count: usize) -> f64 {
     let own: ids::InstanceId = name("d-0");
     let tolerance = rate_limit::LimitTolerance::default();
-    let mut board = token_pools::PoolBoard::new(own.clone(), tolerance, clock::Moment(0));
-    board.set_keepers(&[own], |_| None, clock::Moment(0));
+    let mut board = token_pools::PoolTable::new(own.clone(), tolerance, clock::MonotonicTime(0));
+    board.set_quota_servers(&[own], |_| None, clock::MonotonicTime(0));
     let specs = specs(count);
     let mut at = 0;
     time_of(|| {
         at += 1;
         let spec = &specs[at % count];
         if let Some(limit) = &spec.limit {
-            let now = clock::Moment(at as u64);
+            let now = clock::MonotonicTime(at as u64);
             hint::black_box(board.grant(&spec.id, limit, 1, now));
         }
     })
@@ -273,7 +273,7 @@
     let text = document(workspaces);
     time_of(|| {
         if let Ok(document) = serde_json::from_str(&text) {
-            hint::black_box(bundle::BundleView::new(
+            hint::black_box(bundle::IndexedBundle::new(
                 bundle::BundleGeneration(1),
                 document,
             ));
@@ -340,8 +340,8 @@
 fn object_stats(objects: net::SocketAddr) -> BenchResult<standin::objects::ObjectStats> {
     let stats = actix_rt::System::new().block_on(async {
         let client = http_client::new_client(0);
-        let mut answer = client.get(format!("http://{objects}/stats")).send().await?;
-        let stats = answer.json::<standin::objects::ObjectStats>().await?;
+        let mut response = client.get(format!("http://{objects}/stats")).send().await?;
+        let stats = response.json::<standin::objects::ObjectStats>().await?;
         Ok::<_, super::BenchError>(stats)
     })?;
     Ok(stats)
@@ -434,7 +434,7 @@
         let cpu_before = duty_seconds();
         let started = time::Instant::now();
         run_job(&fleet, items)?;
-        let span = started.elapsed().as_secs_f64();
+        let duration = started.elapsed().as_secs_f64();
         let cpu = duty_seconds() - cpu_before;
         let after = object_stats(fleet.objects)?;
         fleet.stop()?;
@@ -445,7 +445,7 @@
         let per_thousand = |calls: f64| report::two(calls / items as f64 * 1000.0);
         rows.push(vec![
             items.to_string(),
-            report::two(span),
+            report::two(duration),
             per_thousand(writes),
             per_thousand(reads),
             format!("{:.0}", cpu / items as f64 * 1e6),
@@ -480,9 +480,9 @@
         });
         let _ = writeln!(lines, "{item}");
     }
-    let reach = fleet.reach(local_fleet::CALLER_KEY);
+    let profile = fleet.profile(local_fleet::CALLER_KEY);
     let job = actix_rt::System::new().block_on(async {
-        let client = client::ApiClient::new(&reach);
+        let client = client::ApiClient::new(&profile);
         let job = job_commands::submit_items(
             &client,
             lines.as_bytes(),
--- a/src/bench/soak/chunk_world.rs
+++ b/src/bench/soak/chunk_world.rs
@@ -64,7 +64,7 @@
 pub struct ChunkWorld {
     without: Option<Protection>,
     tally: WorldTally,
-    now: clock::Moment,
+    now: clock::MonotonicTime,
     job: sync::Arc<job::JobManifest>,
     jobs: u64,
     claims: u64,
@@ -82,7 +82,7 @@
         let mut world = Self {
             without,
             tally: WorldTally::default(),
-            now: clock::Moment(1),
+            now: clock::MonotonicTime(1),
             job: sync::Arc::new(new_job(0)),
             jobs: 0,
             claims: 0,
@@ -202,7 +202,7 @@
         let write = self.flying.remove(rng.random_range(0..self.flying.len()));
         if rng.random_bool(0.05) {
             self.tally.fault("write_lost");
-            return self.answer(&write, None);
+            return self.respond(&write, None);
         }
         if let Some((name, items)) = &write.segment {
             let segments = &mut self.stored[write.chunk].segments;
@@ -220,7 +220,7 @@
         if lost {
             self.tally.fault("answer_lost");
         }
-        self.answer(&write, (!lost).then_some(holds));
+        self.respond(&write, (!lost).then_some(holds));
         if rng.random_bool(0.02) {
             self.tally.fault("write_repeated");
             self.flying.push(write);
@@ -228,7 +228,7 @@
     }
 
     /// Gives an answer to the sender, if it still listens; `None` is a lost one.
-    fn answer(&mut self, write: &FlyingWrite, outcome: Option<bool>) {
+    fn respond(&mut self, write: &FlyingWrite, outcome: Option<bool>) {
         let number = write.dispatcher;
         let dispatcher = &mut self.dispatchers[number];
         if dispatcher.life != write.life || dispatcher.waits_for != write.serial {
@@ -249,7 +249,7 @@
             // A claim that was not won is let go.
             Waiting::Claim(..) => {}
             Waiting::Commit(chunk, planned) if took_effect => {
-                self.note_committed(number, chunk, &planned);
+                self.record_committed(number, chunk, &planned);
             }
             Waiting::Commit(chunk, planned) => {
                 let same = self.stored[chunk].revision == planned.revision.0;
@@ -260,7 +260,7 @@
                     let revision = self.stored[chunk].revision;
                     let work = self.dispatchers[number].chunks.get_mut(&chunk);
                     if let Some(work) = work {
-                        work.note_uncommitted(store::ObjectRevision(revision));
+                        work.record_uncommitted(store::ObjectRevision(revision));
                     }
                 } else if lost_for_good {
                     self.lose_chunk(number, chunk);
@@ -298,13 +298,18 @@
         self.dispatchers[number].chunks.insert(chunk, work);
     }
 
-    fn note_committed(&mut self, number: usize, chunk: usize, planned: &chunk_work::PlannedCommit) {
+    fn record_committed(
+        &mut self,
+        number: usize,
+        chunk: usize,
+        planned: &chunk_work::PlannedCommit,
+    ) {
         let revision = store::ObjectRevision(self.stored[chunk].revision);
         let dispatcher = &mut self.dispatchers[number];
         let Some(work) = dispatcher.chunks.get_mut(&chunk) else {
             return;
         };
-        if !work.note_committed(planned, revision, self.now) {
+        if !work.record_committed(planned, revision, self.now) {
             self.lose_chunk(number, chunk);
         }
     }
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -20,7 +20,7 @@
 pub struct CommandLine {
     /// How to reach a gateway, and how to print.
     #[command(flatten)]
-    pub reach: ReachFlags,
+    pub profile: ProfileFlags,
     /// What to do.
     #[command(subcommand)]
     pub command: Option<TopCommand>,
@@ -28,7 +28,7 @@
 
 /// How a gateway is reached, and how answers are printed.
 #[derive(Debug, clap::Args)]
-pub struct ReachFlags {
+pub struct ProfileFlags {
     /// Settings file of the command line, in JSON.
     #[arg(long, global = true, value_name = "FILE", env = "JAYHOLLOW_CONFIG")]
     pub config: Option<path::PathBuf>,
@@ -57,7 +57,7 @@
 /// Name of an operator if none is set.
 const DEFAULT_OPERATOR: &str = "operator";
 
-impl ReachFlags {
+impl ProfileFlags {
     fn settings(&self) -> CommandResult<settings::client::ClientSettings> {
         match &self.config {
             None => Ok(settings::client::ClientSettings::default()),
@@ -66,7 +66,7 @@
     }
 
     /// The reach that flags, environment, settings and defaults make together.
-    fn resolve(&self) -> CommandResult<GatewayReach> {
+    fn resolve(&self) -> CommandResult<GatewayProfile> {
         let settings = self.settings()?;
         let read = |file: &path::PathBuf| {
             let text = std::fs::read_to_string(file);
@@ -76,7 +76,7 @@
         let key = self.key.clone().or(kept).unwrap_or_default();
         let url = self.url.clone().or(settings.url);
         let operator = self.operator.clone().or(settings.operator);
-        Ok(GatewayReach {
+        Ok(GatewayProfile {
             url: url.unwrap_or_else(|| DEFAULT_URL.into()),
             key: key.trim().to_owned(),
             operator: operator.unwrap_or_else(|| DEFAULT_OPERATOR.into()),
@@ -87,7 +87,7 @@
 
 /// How a gateway is reached, and how answers are printed.
 #[derive(Debug, Clone)]
-pub struct GatewayReach {
+pub struct GatewayProfile {
     /// Address of a gateway.
     pub url: String,
     /// Key.
@@ -192,9 +192,9 @@
 }
 
 fn dispatch(line: CommandLine, run_dev: DevRunner) -> CommandResult<()> {
-    log_setup::start(line.reach.log_level);
-    if line.reach.check_config {
-        let settings = line.reach.settings()?;
+    log_setup::start(line.profile.log_level);
+    if line.profile.check_config {
+        let settings = line.profile.settings()?;
         println!(
             "{}",
             serde_json::to_string_pretty(&settings).unwrap_or_default()
@@ -205,19 +205,19 @@
         let mut command = CommandLine::command();
         return command.print_help().map_err(CommandError::failed);
     };
-    let reach = line.reach.resolve()?;
+    let profile = line.profile.resolve()?;
     match command {
         TopCommand::Dev(flags) => run_dev(&flags),
-        TopCommand::Explain(flags) => explain_command::run(&flags, reach.output),
+        TopCommand::Explain(flags) => explain_command::run(&flags, profile.output),
         TopCommand::Config(command) => config_commands::run(&command),
         TopCommand::Completions { shell } => {
             let mut command = CommandLine::command();
             clap_complete::generate(shell, &mut command, "jayhollow", &mut std::io::stdout());
             Ok(())
         }
-        TopCommand::Bundle(command) => in_runtime(bundle_commands::run(&reach, &command)),
-        TopCommand::Job(command) => in_runtime(job_commands::run(&reach, &command)),
-        TopCommand::Instance(command) => in_runtime(instance_commands::run(&reach, &command)),
+        TopCommand::Bundle(command) => in_runtime(bundle_commands::run(&profile, &command)),
+        TopCommand::Job(command) => in_runtime(job_commands::run(&profile, &command)),
+        TopCommand::Instance(command) => in_runtime(instance_commands::run(&profile, &command)),
     }
 }
 
--- a/src/decisions/health.rs
+++ b/src/decisions/health.rs
@@ -32,33 +32,33 @@
     /// Share of failures among the latest outcomes, 0 to 1.
     failing: f64,
     ejections: u32,
-    until: clock::Moment,
+    until: clock::MonotonicTime,
     /// The first few instances that reported failures since the last success.
     reporters: Vec<ids::InstanceId>,
 }
 
 impl EndpointHealth {
-    fn note_failure(&mut self) {
+    fn record_failure(&mut self) {
         self.failing += (1.0 - self.failing) * OUTCOME_WEIGHT;
     }
 
-    fn note_silence(&mut self) {
+    fn record_silence(&mut self) {
         self.failing = self.failing.max(NEARLY_OUT);
-        self.note_failure();
+        self.record_failure();
     }
 
-    fn note_reporter(&mut self, reporter: &ids::InstanceId) {
+    fn record_reporter(&mut self, reporter: &ids::InstanceId) {
         if self.reporters.len() < LEAST_REPORTERS && !self.reporters.contains(reporter) {
             self.reporters.push(reporter.clone());
         }
     }
 
-    fn eject_if_failing(&mut self, now: clock::Moment) {
+    fn eject_if_failing(&mut self, now: clock::MonotonicTime) {
         if self.failing < EJECT_SHARE {
             return;
         }
-        let span = FIRST_EJECTION * 2_u32.saturating_pow(self.ejections.min(8));
-        self.until = now + span.min(LAST_EJECTION);
+        let duration = FIRST_EJECTION * 2_u32.saturating_pow(self.ejections.min(8));
+        self.until = now + duration.min(LAST_EJECTION);
         self.ejections += 1;
         // One more failure after the return ejects again.
         self.failing = NEARLY_OUT;
@@ -76,13 +76,13 @@
 
 /// Health of endpoints as one instance sees it.
 #[derive(Debug, Clone, Default)]
-pub struct HealthBoard {
+pub struct HealthTracker {
     endpoints: collections::HashMap<ids::EndpointId, EndpointHealth>,
 }
 
-impl HealthBoard {
+impl HealthTracker {
     /// Notes an attempt that the endpoint answered.
-    pub fn note_success(&mut self, id: &ids::EndpointId) {
+    pub fn record_success(&mut self, id: &ids::EndpointId) {
         if let Some(health) = self.endpoints.get_mut(id) {
             health.failing -= health.failing * OUTCOME_WEIGHT;
             health.reporters.clear();
@@ -91,24 +91,24 @@
     }
 
     /// Notes an attempt that failed; ejects when too many do.
-    pub fn note_failure(&mut self, id: &ids::EndpointId, now: clock::Moment) {
+    pub fn record_failure(&mut self, id: &ids::EndpointId, now: clock::MonotonicTime) {
         let health = self.endpoints.entry(id.clone()).or_default();
-        health.note_failure();
+        health.record_failure();
         health.eject_if_failing(now);
     }
 
     /// Notes a failure that another instance saw.
-    pub fn note_report(
+    pub fn record_report(
         &mut self,
         id: &ids::EndpointId,
         report: &FailureReport,
-        now: clock::Moment,
+        now: clock::MonotonicTime,
     ) {
         let health = self.endpoints.entry(id.clone()).or_default();
-        health.note_reporter(&report.reporter);
+        health.record_reporter(&report.reporter);
         match report.is_silent {
-            true => health.note_silence(),
-            false => health.note_failure(),
+            true => health.record_silence(),
+            false => health.record_failure(),
         }
         if health.reporters.len() >= LEAST_REPORTERS {
             health.eject_if_failing(now);
@@ -116,19 +116,19 @@
     }
 
     /// Notes an endpoint that does not answer at all; ejects it at once.
-    pub fn note_silence(&mut self, id: &ids::EndpointId, now: clock::Moment) {
+    pub fn record_silence(&mut self, id: &ids::EndpointId, now: clock::MonotonicTime) {
         let health = self.endpoints.entry(id.clone()).or_default();
-        health.note_silence();
+        health.record_silence();
         health.eject_if_failing(now);
     }
 
     /// Whether the endpoint is out now.
-    pub fn is_ejected(&self, id: &ids::EndpointId, now: clock::Moment) -> bool {
+    pub fn is_ejected(&self, id: &ids::EndpointId, now: clock::MonotonicTime) -> bool {
         self.endpoints.get(id).is_some_and(|h| h.until > now)
     }
 
     /// The endpoints that are out now.
-    pub fn ejected(&self, now: clock::Moment) -> impl Iterator<Item = &ids::EndpointId> {
+    pub fn ejected(&self, now: clock::MonotonicTime) -> impl Iterator<Item = &ids::EndpointId> {
         let out = self.endpoints.iter().filter(move |(_, h)| h.until > now);
         out.map(|(id, _)| id)
     }
@@ -137,7 +137,7 @@
     pub fn usable<'a>(
         &self,
         ids: &[&'a ids::EndpointId],
-        now: clock::Moment,
+        now: clock::MonotonicTime,
     ) -> Vec<&'a ids::EndpointId> {
         let out = |id: &&&ids::EndpointId| self.is_ejected(id, now);
         let ejected = ids.iter().filter(out).count();
--- a/src/decisions/job_plan.rs
+++ b/src/decisions/job_plan.rs
@@ -65,7 +65,7 @@
 #[derive(Debug, Clone)]
 pub struct JobPlan {
     status: Vec<ChunkStatus>,
-    looked_at: Option<clock::Moment>,
+    looked_at: Option<clock::MonotonicTime>,
     /// The last chunk in hand was done, and the job was not looked at since.
     finished_own: bool,
 }
@@ -81,18 +81,18 @@
     }
 
     /// Notes what became known of a chunk.
-    pub fn note(&mut self, chunk: ids::ChunkIndex, status: ChunkStatus) {
+    pub fn record(&mut self, chunk: ids::ChunkIndex, status: ChunkStatus) {
         if let Some(known) = self.status.get_mut(chunk.0 as usize) {
             *known = status;
         }
     }
 
     /// Notes the states of all chunks; those without a state are free.
-    pub fn note_all(
+    pub fn record_all(
         &mut self,
         states: &collections::BTreeMap<u32, chunk::ChunkState>,
         own: &ids::InstanceId,
-        now: clock::Moment,
+        now: clock::MonotonicTime,
     ) {
         self.looked_at = Some(now);
         self.finished_own = false;
@@ -108,14 +108,14 @@
     }
 
     /// Notes a look that told nothing.
-    pub fn note_look(&mut self, now: clock::Moment) {
+    pub fn record_look(&mut self, now: clock::MonotonicTime) {
         self.looked_at = Some(now);
         self.finished_own = false;
     }
 
     /// Notes that a chunk in hand was done; the last one asks for a look.
-    pub fn note_done(&mut self, chunk: ids::ChunkIndex) {
-        self.note(chunk, ChunkStatus::Done);
+    pub fn record_done(&mut self, chunk: ids::ChunkIndex) {
+        self.record(chunk, ChunkStatus::Done);
         self.finished_own = !self.status.contains(&ChunkStatus::Mine);
     }
 
@@ -124,8 +124,8 @@
     /// A look is a list of the object service. With thousands of jobs waiting
     /// most must not be looked at: only where that may end the job, or give
     /// work to a dispatcher that lacks it.
-    pub fn wants_look(&self, terms: LookTerms, now: clock::Moment) -> bool {
-        let rested = |pause| self.looked_at.is_none_or(|at| now.since(at) >= pause);
+    pub fn wants_look(&self, terms: LookTerms, now: clock::MonotonicTime) -> bool {
+        let rested = |delay| self.looked_at.is_none_or(|at| now.since(at) >= delay);
         if terms.cancelling {
             return terms.first && rested(FIRST_LOOK_PAUSE);
         }
@@ -139,12 +139,12 @@
         if terms.first && self.status.iter().all(settled) && rested(FIRST_LOOK_PAUSE) {
             return true;
         }
-        let pause = if terms.first {
+        let delay = if terms.first {
             FIRST_LOOK_PAUSE
         } else {
             OTHER_LOOK_PAUSE
         };
-        let starved = terms.starving && rested(pause);
+        let starved = terms.starving && rested(delay);
         // Whoever did the last chunk may have been lost before it ended the job.
         starved || (terms.first && rested(SPARE_LOOK_PAUSE))
     }
--- a/src/dispatcher/batch_planner.rs
+++ b/src/dispatcher/batch_planner.rs
@@ -22,7 +22,11 @@
 
 impl batch_runner::BatchRunner {
     /// Claims chunks while too little waits, and looks at jobs that may have ended.
-    pub(super) fn plan_jobs(&self, snapshot: &sync::Arc<fleet::FleetSnapshot>, now: clock::Moment) {
+    pub(super) fn plan_jobs(
+        &self,
+        snapshot: &sync::Arc<fleet::FleetSnapshot>,
+        now: clock::MonotonicTime,
+    ) {
         if !self.is_time_to_plan(now) {
             return;
         }
@@ -51,11 +55,11 @@
     }
 
     /// Planning takes time in proportion to the active jobs: seldom if enough work is in hand.
-    fn is_time_to_plan(&self, now: clock::Moment) -> bool {
+    fn is_time_to_plan(&self, now: clock::MonotonicTime) -> bool {
         let mut state = self.state.borrow_mut();
         let low = state.waiting_items() < self.context.settings.batch.low_water_items;
-        let pause = if low { LOW_PLAN_PAUSE } else { PLAN_PAUSE };
-        if now.since(state.planned_at) < pause {
+        let delay = if low { LOW_PLAN_PAUSE } else { PLAN_PAUSE };
+        if now.since(state.planned_at) < delay {
             return false;
         }
         state.planned_at = now;
@@ -82,7 +86,7 @@
         job: &job::JobManifest,
         group: &[ownership::OwnerCandidate],
         snapshot: &fleet::FleetSnapshot,
-        now: clock::Moment,
+        now: clock::MonotonicTime,
     ) {
         loop {
             let mut state = self.state.borrow_mut();
@@ -103,7 +107,7 @@
             let Some(index) = plan.next_chunk(&job.id, self.context.id(), group, is_live) else {
                 return;
             };
-            plan.note(index, job_plan::ChunkStatus::Mine);
+            plan.record(index, job_plan::ChunkStatus::Mine);
             state.claiming.insert((job.id.clone(), index));
             drop(state);
             let Some(job) = snapshot.jobs.get(&job.id).cloned() else {
@@ -140,14 +144,14 @@
             }
         };
         if let Some(plan) = state.plans.get_mut(&key.0) {
-            plan.note(index, status);
+            plan.record(index, status);
         }
         drop(state);
         self.wake.notify_one();
     }
 
     /// Reads a job's chunks when that may tell something new; the first ends the job.
-    fn look_at(&self, job: &job::JobManifest, first: bool, now: clock::Moment) {
+    fn look_at(&self, job: &job::JobManifest, first: bool, now: clock::MonotonicTime) {
         let mut state = self.state.borrow_mut();
         if state.looking.len() >= MAX_LOOKS {
             return;
@@ -177,9 +181,9 @@
             let now = runner.context.clock.now();
             if let Some(plan) = state.plans.get_mut(&job.id) {
                 match looked {
-                    Ok(chunks) => plan.note_all(&chunks, runner.context.id(), now),
+                    Ok(chunks) => plan.record_all(&chunks, runner.context.id(), now),
                     Err(e) => {
-                        plan.note_look(now);
+                        plan.record_look(now);
                         log::warn!("event=look_failed job={} why=\"{e}\"", job.id);
                     }
                 }
--- a/src/dispatcher/batch_runner.rs
+++ b/src/dispatcher/batch_runner.rs
@@ -34,19 +34,19 @@
     /// Group of each job, and the epoch of the owners that it was made from.
     pub(super) groups:
         collections::HashMap<ids::JobId, (u64, rc::Rc<Vec<ownership::OwnerCandidate>>)>,
-    pub(super) planned_at: clock::Moment,
+    pub(super) planned_at: clock::MonotonicTime,
     /// Jobs that the plans were last compared with.
     pub(super) seen_jobs: sync::Arc<collections::BTreeMap<ids::JobId, sync::Arc<job::JobManifest>>>,
     pub(super) order: job_order::JobOrder,
     /// Streams that run, and the chunk that each is for.
     pub(super) streams: collections::HashMap<(ids::EndpointId, admission::StreamNumber), ChunkKey>,
-    pub(super) health: health::HealthBoard,
+    pub(super) health: health::HealthTracker,
     pub(super) claiming: collections::HashSet<ChunkKey>,
     pub(super) looking: collections::HashSet<ids::JobId>,
-    pub(super) claim_again_at: clock::Moment,
-    pub(super) round_at: clock::Moment,
+    pub(super) claim_again_at: clock::MonotonicTime,
+    pub(super) round_at: clock::MonotonicTime,
     /// When this process came back from a pause, until it has read the service again.
-    pub(super) paused_until_read: Option<clock::Moment>,
+    pub(super) paused_until_read: Option<clock::MonotonicTime>,
     pub(super) stop: Option<StopRequest>,
 }
 
@@ -90,7 +90,7 @@
                 return;
             }
             let busy = !self.state.borrow().chunks.is_empty();
-            let pause = if busy { BUSY_PAUSE } else { IDLE_PAUSE };
+            let delay = if busy { BUSY_PAUSE } else { IDLE_PAUSE };
             tokio::select! {
                 stop = stops.recv() => match stop {
                     Some(stop) => self.begin_stop(stop),
@@ -99,7 +99,7 @@
                 () = self.wake.notified() => {}
                 () = self.context.board.changed.notified() => {}
                 _ = changes.changed() => self.take_snapshot(),
-                () = actix_rt::time::sleep(pause) => {}
+                () = actix_rt::time::sleep(delay) => {}
             }
         }
     }
@@ -135,7 +135,7 @@
     fn round(&self) {
         let snapshot = self.context.fleet.snapshot();
         let now = self.context.clock.now();
-        if !self.note_round(&snapshot, now) {
+        if !self.record_round(&snapshot, now) {
             return;
         }
         self.drop_ended(&snapshot);
@@ -147,9 +147,9 @@
     }
 
     /// Notices a long pause of the process; false until the service was read again.
-    fn note_round(&self, snapshot: &fleet::FleetSnapshot, now: clock::Moment) -> bool {
+    fn record_round(&self, snapshot: &fleet::FleetSnapshot, now: clock::MonotonicTime) -> bool {
         let mut state = self.state.borrow_mut();
-        if now.since(state.round_at) >= self.context.settings.pace.lapse() {
+        if now.since(state.round_at) >= self.context.settings.pace.lease_timeout() {
             log::warn!("event=paused ms={}", now.since(state.round_at).as_millis());
             state.paused_until_read = Some(now);
         }
@@ -175,7 +175,7 @@
         for (key, work) in &state.chunks {
             let job = snapshot.jobs.get(&key.0);
             let cancelled = job.is_some_and(|j| j.cancelling_at.is_some());
-            if cancelled && !protection::is_out("cancel") {
+            if cancelled && !protection::is_disabled("cancel") {
                 work.borrow_mut().release();
                 self.cancel_streams(&state, key);
             }
@@ -192,12 +192,12 @@
 
     /// Starts items wherever an endpoint has room.
     fn start_items(&self) {
-        for (endpoint, room) in self.context.board.endpoints_with_room() {
+        for (endpoint, free_slots) in self.context.board.endpoints_with_free_slots() {
             let now = self.context.clock.now();
             if self.state.borrow().health.is_ejected(&endpoint.id, now) {
                 continue;
             }
-            for _ in 0..room {
+            for _ in 0..free_slots {
                 if !self.start_item(&endpoint) {
                     break;
                 }
@@ -225,7 +225,7 @@
             let context = &runner.context;
             let end = item_run::run(context, &runner.client, &item, &pending, stream).await;
             runner.state.borrow_mut().streams.remove(&running);
-            runner.note_end(&key, &work, &item, pending, &endpoint, end);
+            runner.record_end(&key, &work, &item, pending, &endpoint, end);
             runner.wake.notify_one();
         });
         true
@@ -252,7 +252,7 @@
                 let taken = work.borrow_mut().take_next(service);
                 if let Some(pending) = taken {
                     let found = (key.clone(), work.clone(), pending);
-                    state.order.note_served(&job.workspace, 1);
+                    state.order.record_served(&job.workspace, 1);
                     return Some(found);
                 }
             }
@@ -261,7 +261,7 @@
     }
 
     /// Notes how an attempt of an item ended.
-    fn note_end(
+    fn record_end(
         &self,
         key: &ChunkKey,
         work: &SharedChunk,
@@ -283,19 +283,19 @@
         let mut work = work.borrow_mut();
         let label = match end {
             item_run::ItemEnd::Settled(result) => {
-                self.state.borrow_mut().health.note_success(endpoint);
+                self.state.borrow_mut().health.record_success(endpoint);
                 work.settle(pending.index, &result);
                 "settled"
             }
             item_run::ItemEnd::NotRun => {
-                self.state.borrow_mut().health.note_failure(endpoint, now);
+                self.state.borrow_mut().health.record_failure(endpoint, now);
                 work.put_last(pending);
                 "not_run"
             }
             _ if !may_repeat => {
                 let code = batch_item::ItemErrorCode::OutcomeUnknown;
-                let why = "it may have run and may not be repeated";
-                work.settle_failed(pending.index, code, why);
+                let reason = "it may have run and may not be repeated";
+                work.settle_failed(pending.index, code, reason);
                 "unknown"
             }
             item_run::ItemEnd::Preempted(text) => {
@@ -303,12 +303,12 @@
                 work.put_back(pending);
                 "preempted"
             }
-            item_run::ItemEnd::Failed(why, text) => {
+            item_run::ItemEnd::Failed(reason, text) => {
                 pending.attempts += 1;
                 pending.text = text;
-                if pending.attempts >= max_attempts && !protection::is_out("attempts") {
+                if pending.attempts >= max_attempts && !protection::is_disabled("attempts") {
                     let code = batch_item::ItemErrorCode::EndpointFailed;
-                    work.settle_failed(pending.index, code, &why);
+                    work.settle_failed(pending.index, code, &reason);
                     "failed"
                 } else {
                     work.put_last(pending);
@@ -331,7 +331,7 @@
         }
     }
 
-    fn start_commits(&self, now: clock::Moment) {
+    fn start_commits(&self, now: clock::MonotonicTime) {
         let commit_after = self.context.settings.batch.commit_after_ms;
         let commit_after = time::Duration::from_millis(commit_after);
         let chunks: Vec<(ChunkKey, SharedChunk)> = self
@@ -361,7 +361,7 @@
             match commits::commit(&self.context, &job, key.1, &planned).await {
                 commits::CommitOutcome::Done(revision) => {
                     let now = self.context.clock.now();
-                    let held = work.borrow_mut().note_committed(&planned, revision, now);
+                    let held = work.borrow_mut().record_committed(&planned, revision, now);
                     if !held {
                         self.let_go(&key, work.borrow().is_done());
                     }
@@ -393,8 +393,8 @@
         held.remove(key);
         if let Some(plan) = state.plans.get_mut(&key.0) {
             match done {
-                true => plan.note_done(key.1),
-                false => plan.note(key.1, job_plan::ChunkStatus::Unknown),
+                true => plan.record_done(key.1),
+                false => plan.record(key.1, job_plan::ChunkStatus::Unknown),
             }
         }
     }
--- a/src/dispatcher/chunk_work.rs
+++ b/src/dispatcher/chunk_work.rs
@@ -91,7 +91,7 @@
     wants_intent: bool,
     wants_release: bool,
     segments_made: u32,
-    committed_at: clock::Moment,
+    committed_at: clock::MonotonicTime,
 }
 
 impl ChunkWork {
@@ -101,7 +101,7 @@
     pub fn new(
         claimed: ClaimedChunk,
         terms_of: impl Fn(&batch_item::BatchItem) -> ItemTerms,
-        now: clock::Moment,
+        now: clock::MonotonicTime,
     ) -> Self {
         let ClaimedChunk {
             job,
@@ -196,7 +196,7 @@
             self.pending.push_front(pending);
             return None;
         }
-        invariant::hold(
+        invariant::check(
             "item_runs_once_at_a_time",
             self.running.insert(pending.index),
         );
@@ -232,9 +232,9 @@
     }
 
     /// Notes that an item has no answer.
-    pub fn settle_failed(&mut self, index: u32, code: batch_item::ItemErrorCode, why: &str) {
+    pub fn settle_failed(&mut self, index: u32, code: batch_item::ItemErrorCode, reason: &str) {
         let custom_id = self.items[index as usize].custom_id.clone();
-        let result = batch_item::ItemResult::failed(&custom_id, code, why);
+        let result = batch_item::ItemResult::failed(&custom_id, code, reason);
         self.settle(index, &result);
     }
 
@@ -255,7 +255,7 @@
     /// What to write now, if anything.
     pub fn plan_commit(
         &mut self,
-        now: clock::Moment,
+        now: clock::MonotonicTime,
         commit_after: time::Duration,
     ) -> Option<PlannedCommit> {
         if self.committing {
@@ -339,11 +339,11 @@
     /// Notes that a planned commit was written.
     ///
     /// Gives whether the chunk is still in hand.
-    pub fn note_committed(
+    pub fn record_committed(
         &mut self,
         planned: &PlannedCommit,
         revision: store::ObjectRevision,
-        now: clock::Moment,
+        now: clock::MonotonicTime,
     ) -> bool {
         self.committing = false;
         self.committed_at = now;
@@ -357,7 +357,7 @@
     }
 
     /// Notes that a planned commit was given up; it is planned anew on `revision`.
-    pub fn note_uncommitted(&mut self, revision: store::ObjectRevision) {
+    pub fn record_uncommitted(&mut self, revision: store::ObjectRevision) {
         self.committing = false;
         self.revision = revision;
     }
--- a/src/dispatcher/item_run.rs
+++ b/src/dispatcher/item_run.rs
@@ -76,8 +76,8 @@
     match endpoint_client::call_whole(client, &call).await {
         AttemptOutcome::Completed(answer) => ItemEnd::Settled(to_result(item, &call, &answer)),
         AttemptOutcome::NotRun(_) => ItemEnd::NotRun,
-        AttemptOutcome::Failed(why) | AttemptOutcome::Unknown(why) => {
-            ItemEnd::Failed(why, String::new())
+        AttemptOutcome::Failed(reason) | AttemptOutcome::Unknown(reason) => {
+            ItemEnd::Failed(reason, String::new())
         }
     }
 }
@@ -85,7 +85,7 @@
 fn to_result(
     item: &batch_item::BatchItem,
     call: &endpoint_client::EndpointCall,
-    answer: &endpoint_client::EndpointAnswer,
+    answer: &endpoint_client::EndpointResponse,
 ) -> batch_item::ItemResult {
     if answer.status.is_client_error() {
         let message = format!("the endpoint answered {}", answer.status);
@@ -130,8 +130,8 @@
             return ItemEnd::Settled(to_result(item, &call, &answer));
         }
         AttemptOutcome::NotRun(_) => return ItemEnd::NotRun,
-        AttemptOutcome::Failed(why) | AttemptOutcome::Unknown(why) => {
-            return ItemEnd::Failed(why, pending.text.clone());
+        AttemptOutcome::Failed(reason) | AttemptOutcome::Unknown(reason) => {
+            return ItemEnd::Failed(reason, pending.text.clone());
         }
     };
     let reader = ItemReader {
@@ -159,7 +159,7 @@
     let model = item.service().map(|s| s.to_string()).unwrap_or_default();
     let chat = wire::is_chat(&item.url);
     let prompt_tokens = item.body.to_string().len().div_ceil(BYTES_PER_TOKEN);
-    let body = wire::whole_answer(chat, call.attempt.as_str(), &model, text, prompt_tokens);
+    let body = wire::full_response(chat, call.attempt.as_str(), &model, text, prompt_tokens);
     let response = batch_item::ItemResponse {
         status_code: 200,
         request_id: call.attempt.to_string(),
@@ -191,14 +191,14 @@
             };
             let event = match next {
                 Ok(Some(Ok(event))) => event,
-                Ok(Some(Err(why))) => return Err(ItemEnd::Failed(why, self.text)),
+                Ok(Some(Err(reason))) => return Err(ItemEnd::Failed(reason, self.text)),
                 Ok(None) => {
-                    let why = "the stream ended early".to_owned();
-                    return Err(ItemEnd::Failed(why, self.text));
+                    let reason = "the stream ended early".to_owned();
+                    return Err(ItemEnd::Failed(reason, self.text));
                 }
                 Err(_) => {
-                    let why = "the endpoint was silent".to_owned();
-                    return Err(ItemEnd::Failed(why, self.text));
+                    let reason = "the endpoint was silent".to_owned();
+                    return Err(ItemEnd::Failed(reason, self.text));
                 }
             };
             let cursor = cursor.get_or_insert_with(|| relay::RelayCursor::starting_at(event.index));
@@ -215,7 +215,7 @@
             let endpoint = &self.stream.endpoint.id;
             self.context
                 .board
-                .note_token(endpoint, self.stream.number, gap);
+                .record_token(endpoint, self.stream.number, gap);
             self.text.push_str(&event.text);
             if event.last {
                 return Ok(self.text);
--- a/src/dispatcher/ledger_board.rs
+++ b/src/dispatcher/ledger_board.rs
@@ -29,7 +29,7 @@
 struct SeenParts {
     endpoints: sync::Arc<Vec<platform::EndpointRecord>>,
     dispatchers: sync::Arc<Vec<ownership::OwnerCandidate>>,
-    bundle: sync::Arc<bundle::BundleView>,
+    bundle: sync::Arc<bundle::IndexedBundle>,
 }
 
 #[derive(Default)]
@@ -59,7 +59,7 @@
     metrics: sync::Arc<metrics::MetricSet>,
     /// Wakes the batch thread when room may have come.
     pub changed: tokio::sync::Notify,
-    fleet: sync::OnceLock<fleet::FleetView>,
+    fleet: sync::OnceLock<fleet::FleetHandle>,
     policy: PolicyOverride,
 }
 
@@ -81,7 +81,7 @@
     }
 
     /// Gives the board the view that it answers bundle questions from.
-    pub fn set_fleet(&self, fleet: fleet::FleetView) {
+    pub fn set_fleet(&self, fleet: fleet::FleetHandle) {
         let _ = self.fleet.set(fleet);
     }
 
@@ -97,7 +97,7 @@
         settings: &settings::dispatcher::BatchSettings,
     ) {
         let mut state = self.state();
-        if !state.note_seen(snapshot) {
+        if !state.record_seen(snapshot) {
             return;
         }
         let mut owned = collections::HashSet::new();
@@ -144,7 +144,7 @@
     fn spec_of(
         &self,
         record: &platform::EndpointRecord,
-        bundle: &bundle::BundleView,
+        bundle: &bundle::IndexedBundle,
         settings: &settings::dispatcher::BatchSettings,
     ) -> admission::AdmissionSpec {
         let engine = admission::AdmissionSpec {
@@ -171,14 +171,16 @@
     }
 
     /// Endpoints that have room for a batch stream now.
-    pub fn endpoints_with_room(&self) -> Vec<(platform::EndpointRecord, u32)> {
+    pub fn endpoints_with_free_slots(&self) -> Vec<(platform::EndpointRecord, u32)> {
         let now = self.clock.now();
         let mut state = self.state();
-        let rooms = state.endpoints.values_mut().map(|owned| {
-            let room = owned.ledger.batch_room(now);
-            (owned.record.clone(), room)
+        let free_slots = state.endpoints.values_mut().map(|owned| {
+            let free_slots = owned.ledger.free_batch_slots(now);
+            (owned.record.clone(), free_slots)
         });
-        rooms.filter(|(_, room)| *room > 0).collect()
+        free_slots
+            .filter(|(_, free_slots)| *free_slots > 0)
+            .collect()
     }
 
     /// Services that this dispatcher owns a live endpoint of.
@@ -227,14 +229,14 @@
     }
 
     /// Notes a token of a batch stream.
-    pub fn note_token(
+    pub fn record_token(
         &self,
         endpoint: &ids::EndpointId,
         number: admission::StreamNumber,
         gap: Option<time::Duration>,
     ) {
         if let Some(owned) = self.state().endpoints.get_mut(endpoint) {
-            owned.ledger.note_token(number, gap);
+            owned.ledger.record_token(number, gap);
         }
     }
 
@@ -265,7 +267,7 @@
 
 impl BoardState {
     /// Notes what a snapshot holds; false if nothing changed that the board is made from.
-    fn note_seen(&mut self, snapshot: &fleet::FleetSnapshot) -> bool {
+    fn record_seen(&mut self, snapshot: &fleet::FleetSnapshot) -> bool {
         let seen = &self.seen;
         let same = sync::Arc::ptr_eq(&seen.endpoints, &snapshot.endpoints)
             && sync::Arc::ptr_eq(&seen.dispatchers, &snapshot.dispatchers)
@@ -294,18 +296,18 @@
 }
 
 impl link::LinkHandler for LedgerBoard {
-    fn permit(&self, request: link::PermitRequest) -> link::PermitAnswer {
+    fn permit(&self, request: link::PermitRequest) -> link::PermitResponse {
         let now = self.clock.now();
         let mut state = self.state();
         let Some(owned) = state.endpoints.get_mut(&request.endpoint) else {
-            return link::PermitAnswer::NotOwner;
+            return link::PermitResponse::NotOwner;
         };
         let leaving = owned.record.state == platform::EndpointState::Leaving;
-        if leaving && !protection::is_out("leaving") {
-            return link::PermitAnswer::Leaving;
+        if leaving && !protection::is_disabled("leaving") {
+            return link::PermitResponse::Leaving;
         }
         let Some(grant) = owned.ledger.request_permit(request.number, now) else {
-            return link::PermitAnswer::Full;
+            return link::PermitResponse::Full;
         };
         for number in &grant.preempt {
             let key = (request.endpoint.clone(), *number);
@@ -314,7 +316,7 @@
                 self.metrics.preempted.inc();
             }
         }
-        link::PermitAnswer::Granted {
+        link::PermitResponse::Granted {
             online: grant.online,
             batch: grant.batch,
             waiting: grant.waiting,
--- a/src/fleet/watcher.rs
+++ b/src/fleet/watcher.rs
@@ -6,7 +6,7 @@
 
 use super::{documents, model, FleetCommand, FleetOptions, FleetSnapshot, InstanceRecord};
 use crate::{
-    bundle, clock, decisions::call_budget, link, metrics, noted::NotedError as _, platform,
+    bundle, clock, decisions::call_budget, link, log_error::LogError as _, metrics, platform,
     protection, settle, store,
 };
 
@@ -66,29 +66,29 @@
                 WATCH_WAIT
             };
             match self.store.watch(&WATCHED, since, wait).await {
-                Ok(answer) => {
+                Ok(response) => {
                     backoff = settle::JitteredBackoff::default();
-                    self.take_answer(answer).await;
+                    self.take_answer(response).await;
                     let pace = time::Duration::from_millis(self.options.pace.watch_pace_ms);
                     actix_rt::time::sleep(pace).await;
                 }
                 Err(e) => {
                     log::warn!("event=watch_failed why=\"{e}\"");
                     self.model.borrow_mut().store_answers = false;
-                    self.ask_peers().await;
+                    self.query_peers().await;
                     self.publish();
-                    actix_rt::time::sleep(backoff.next_pause()).await;
+                    actix_rt::time::sleep(backoff.next_delay()).await;
                 }
             }
         }
     }
 
-    async fn take_answer(&self, answer: platform::WatchAnswer) {
+    async fn take_answer(&self, response: platform::WatchResponse) {
         self.model
             .borrow_mut()
-            .take_answer(&answer, self.clock.now());
+            .take_answer(&response, self.clock.now());
         self.fetch_wanted().await;
-        self.model.borrow_mut().note_synced();
+        self.model.borrow_mut().record_synced();
         self.publish();
     }
 
@@ -99,7 +99,7 @@
         };
         match documents::read_document(self.store.as_ref(), &entry).await {
             Ok(document) => {
-                let view = bundle::BundleView::new(entry.generation, document);
+                let view = bundle::IndexedBundle::new(entry.generation, document);
                 self.apply_bundle(view);
             }
             Err(e) => {
@@ -109,7 +109,7 @@
         }
     }
 
-    fn apply_bundle(&self, view: bundle::BundleView) {
+    fn apply_bundle(&self, view: bundle::IndexedBundle) {
         let generation = view.generation;
         if self.model.borrow_mut().take_bundle(view) {
             log::info!("event=bundle_in_force generation={generation}");
@@ -128,7 +128,7 @@
         }
         match serde_json::from_str(&offer.document) {
             Ok(document) => {
-                self.apply_bundle(bundle::BundleView::new(offer.generation, document));
+                self.apply_bundle(bundle::IndexedBundle::new(offer.generation, document));
                 self.model.borrow_mut().synced = true;
                 self.publish();
             }
@@ -137,7 +137,7 @@
     }
 
     /// Asks a few peers for a newer bundle while the object service is out.
-    async fn ask_peers(&self) {
+    async fn query_peers(&self) {
         let known = self.model.borrow().bundle.generation;
         let own = self.options.id.clone();
         let peers: Vec<net::SocketAddr> = self
@@ -169,12 +169,12 @@
         if let Ok(Some(found)) = self.store.get(class, &key).await {
             let condition = store::WriteCondition::Match(found.revision);
             let removed = self.store.remove(class, &key, condition).await;
-            removed.noted("old_stop_left");
+            removed.ok_or_log("old_stop_left");
         }
     }
 
     async fn run_endpoints(self) {
-        let pause = time::Duration::from_millis(self.options.pace.endpoints_poll_ms);
+        let delay = time::Duration::from_millis(self.options.pace.endpoints_poll_ms);
         let mut known = None;
         loop {
             match self.store.endpoints(known).await {
@@ -187,7 +187,7 @@
                 // What is known stays in use: endpoints outlast the list's outage.
                 Err(e) => log::debug!("event=endpoints_unread why=\"{e}\""),
             }
-            actix_rt::time::sleep(pause).await;
+            actix_rt::time::sleep(delay).await;
         }
     }
 
@@ -222,10 +222,10 @@
     }
 
     async fn run_leases(self) {
-        let pause = self.options.pace.heartbeat() / 2;
+        let delay = self.options.pace.heartbeat() / 2;
         let mut live = 0;
         loop {
-            actix_rt::time::sleep(pause).await;
+            actix_rt::time::sleep(delay).await;
             let count = self.model.borrow_mut().tick_leases(self.clock.now());
             if count != live {
                 live = count;
@@ -237,7 +237,7 @@
 
     /// Removes the record of an instance that is long gone.
     async fn sweep_one(&self) {
-        if protection::is_out("lapse") {
+        if protection::is_disabled("lapse") {
             return;
         }
         let gone = self.model.borrow().leases.long_gone();
@@ -248,7 +248,7 @@
         let key = format!("instance/{id}");
         let always = store::WriteCondition::Always;
         let removed = self.store.remove(class, &key, always).await;
-        removed.noted("instance_record_left");
+        removed.ok_or_log("instance_record_left");
     }
 }
 
--- a/src/gateway/generation.rs
+++ b/src/gateway/generation.rs
@@ -14,13 +14,13 @@
     client: &awc::Client,
     terms: caller_request::CallerTerms,
     mut request: actix_http::Request,
-) -> error::ApiResult<http_server::HttpAnswer> {
+) -> error::ApiResult<http_server::HttpResponse> {
     let limits = &context.settings.callers.limits;
     let timeout = time::Duration::from_millis(limits.body_timeout_ms);
     let body = caller_request::read_body(&mut request, limits.body_bytes, timeout).await?;
     let wanted: wire::GenerationRequest = caller_request::parse_json(&body)?;
     check(&wanted, request.path(), context)?;
-    let place = admit::admit(context, &terms)?;
+    let slot = admit::admit(context, &terms)?;
     let call = whole_call::WholeCall {
         affinity: routing::affinity_key(&wanted.model, &wanted.prompt_text()),
         service: wanted.model,
@@ -32,11 +32,11 @@
         repeatable: !terms.forbids_repeat,
     };
     if wanted.stream {
-        return stream_relay::serve(context, client, terms, call, place).await;
+        return stream_relay::serve(context, client, terms, call, slot).await;
     }
-    let answer = whole_call::run_once(context, client, &terms, call).await?;
-    drop(place);
-    Ok(whole_call::to_http(&answer))
+    let response = whole_call::run_once(context, client, &terms, call).await?;
+    drop(slot);
+    Ok(whole_call::to_http(&response))
 }
 
 /// Most tokens that an answer may be asked to have.
--- a/src/gateway/once.rs
+++ b/src/gateway/once.rs
@@ -10,7 +10,7 @@
 
 use super::{caller_request, context};
 use crate::{
-    decisions::call_budget, endpoint_client, error, ids, noted::NotedError as _, settle, store,
+    decisions::call_budget, endpoint_client, error, ids, log_error::LogError as _, settle, store,
 };
 
 /// Largest answer that is kept for resends, in bytes.
@@ -62,7 +62,7 @@
     /// Go ahead.
     Send(Box<OnceTicket>),
     /// It was answered before.
-    Replay(endpoint_client::EndpointAnswer),
+    Replay(endpoint_client::EndpointResponse),
 }
 
 fn record_key(workspace: &ids::WorkspaceId, key: &str) -> String {
@@ -134,8 +134,8 @@
     }
 }
 
-fn unavailable(why: &store::StoreError) -> error::ApiError {
-    let message = format!("the call cannot be recorded, so it was not sent: {why}");
+fn unavailable(reason: &store::StoreError) -> error::ApiError {
+    let message = format!("the call cannot be recorded, so it was not sent: {reason}");
     error::ApiError::not_run(error::ErrorCode::StoreUnavailable, message)
 }
 
@@ -147,13 +147,17 @@
             message,
         ));
     }
-    let unknown = |why: &str| {
+    let unknown = |reason: &str| {
         let code = error::ErrorCode::OutcomeUnknown;
-        Err(error::ApiError::ran(code, error::RanReport::Unknown, why))
+        Err(error::ApiError::ran(
+            code,
+            error::RanReport::Unknown,
+            reason,
+        ))
     };
     match found.state {
         OnceState::Answered(kept) => match kept.into_answer() {
-            Some(answer) => Ok(OnceEntry::Replay(answer)),
+            Some(response) => Ok(OnceEntry::Replay(response)),
             None => {
                 let message = "the call ran and was answered; the kept answer cannot be read";
                 let code = error::ErrorCode::EndpointFailed;
@@ -165,7 +169,7 @@
             let code = error::ErrorCode::EndpointFailed;
             Err(error::ApiError::ran(code, error::RanReport::Yes, message))
         }
-        OnceState::Unknown(why) => unknown(&why),
+        OnceState::Unknown(reason) => unknown(&reason),
         OnceState::Started if now < found.lost_after => {
             let message = "a call with this idempotency key is under way";
             let code = error::ErrorCode::InProgress;
@@ -178,22 +182,22 @@
 }
 
 impl KeptAnswer {
-    fn new(answer: &endpoint_client::EndpointAnswer) -> Self {
+    fn new(response: &endpoint_client::EndpointResponse) -> Self {
         Self {
-            status: answer.status.as_u16(),
-            content_type: answer.content_type.clone(),
-            body: base64::engine::general_purpose::STANDARD.encode(&answer.body),
+            status: response.status.as_u16(),
+            content_type: response.content_type.clone(),
+            body: base64::engine::general_purpose::STANDARD.encode(&response.body),
         }
     }
 
     /// The answer as it was given; nothing if the record is damaged.
-    fn into_answer(self) -> Option<endpoint_client::EndpointAnswer> {
+    fn into_answer(self) -> Option<endpoint_client::EndpointResponse> {
         let body = base64::engine::general_purpose::STANDARD.decode(&self.body);
         let status = actix_http::StatusCode::from_u16(self.status);
-        Some(endpoint_client::EndpointAnswer {
-            status: status.noted("kept_status_unreadable")?,
+        Some(endpoint_client::EndpointResponse {
+            status: status.ok_or_log("kept_status_unreadable")?,
             content_type: self.content_type,
-            body: body.noted("kept_body_unreadable")?.into(),
+            body: body.ok_or_log("kept_body_unreadable")?.into(),
         })
     }
 }
@@ -204,11 +208,11 @@
 pub async fn end(
     context: &context::GatewayContext,
     ticket: OnceTicket,
-    outcome: &error::ApiResult<endpoint_client::EndpointAnswer>,
+    outcome: &error::ApiResult<endpoint_client::EndpointResponse>,
 ) {
     let state = match outcome {
-        Ok(answer) if answer.body.len() <= MAX_KEPT_BYTES => {
-            OnceState::Answered(KeptAnswer::new(answer))
+        Ok(response) if response.body.len() <= MAX_KEPT_BYTES => {
+            OnceState::Answered(KeptAnswer::new(response))
         }
         Ok(_) => OnceState::AnsweredUnkept,
         Err(e) if e.ran == error::RanReport::No => {
--- a/src/gateway/route.rs
+++ b/src/gateway/route.rs
@@ -68,7 +68,7 @@
     for endpoint in ranked.into_iter().take(MAX_ASKED) {
         let owner = snapshot.owner_of(&endpoint).map(|(_, address)| address);
         let hold = hold(context, endpoint);
-        let Some((waiting, hold)) = ask(context, hold, owner).await else {
+        let Some((waiting, hold)) = send_request(context, hold, owner).await else {
             continue;
         };
         if waiting == 0 {
@@ -101,7 +101,7 @@
 /// Asks the owner; without one the gateway goes ahead on its own estimate.
 ///
 /// Gives how many requests wait there for a place, or nothing if it takes no more.
-async fn ask(
+async fn send_request(
     context: &context::GatewayContext,
     mut hold: RouteHold,
     owner: Option<net::SocketAddr>,
@@ -116,25 +116,25 @@
     hold.permit = Some((owner, number));
     let request = link::PermitRequest { endpoint, number };
     match context.link.permit(owner, request).await {
-        Ok(link::PermitAnswer::Granted { waiting, .. }) => {
+        Ok(link::PermitResponse::Granted { waiting, .. }) => {
             count(context, "granted");
             Some((waiting, hold))
         }
-        Ok(link::PermitAnswer::Full) => {
+        Ok(link::PermitResponse::Full) => {
             count(context, "full");
             None
         }
-        Ok(link::PermitAnswer::Leaving) => {
+        Ok(link::PermitResponse::Leaving) => {
             count(context, "leaving");
             None
         }
-        Ok(link::PermitAnswer::NotOwner) => {
+        Ok(link::PermitResponse::NotOwner) => {
             count(context, "not_owner");
             Some((0, hold))
         }
         Err(_) => {
             count(context, "unreachable");
-            if protection::is_out("go_ahead") {
+            if protection::is_disabled("go_ahead") {
                 return None;
             }
             Some((0, hold))
@@ -155,7 +155,7 @@
     let serves = |e: &&platform::EndpointRecord| {
         e.service == *query.service
             && e.kind == query.kind
-            && (e.state == platform::EndpointState::Live || protection::is_out("leaving"))
+            && (e.state == platform::EndpointState::Live || protection::is_disabled("leaving"))
     };
     let live: Vec<&platform::EndpointRecord> = endpoints.iter().filter(serves).collect();
     let names: Vec<&ids::EndpointId> = live.iter().map(|e| &e.id).collect();
--- a/src/gateway/router.rs
+++ b/src/gateway/router.rs
@@ -28,7 +28,7 @@
     fn handle(
         &self,
         request: actix_http::Request,
-    ) -> future::LocalBoxFuture<'static, http_server::HttpAnswer> {
+    ) -> future::LocalBoxFuture<'static, http_server::HttpResponse> {
         let context = self.context.clone();
         let client = self.client.clone();
         async move {
@@ -57,7 +57,7 @@
         let fits = context.begin_request();
         let guard = request.conn_data::<http_server::ConnectionGuard>();
         if let Some(guard) = guard {
-            guard.note_request();
+            guard.record_request();
         }
         let overloaded = |message| error::ApiError::not_run(error::ErrorCode::Overloaded, message);
         let refusal = if guard.is_some_and(|g| g.is_over) {
@@ -118,27 +118,31 @@
     fn finish(
         self,
         context: &context::GatewayContext,
-        outcome: error::ApiResult<http_server::HttpAnswer>,
-    ) -> http_server::HttpAnswer {
-        let (code, why, mut answer) = match outcome {
-            Ok(answer) => ("ok", String::new(), answer),
-            Err(e) => (e.code.as_str(), e.message.replace('"', "'"), e.answer()),
+        outcome: error::ApiResult<http_server::HttpResponse>,
+    ) -> http_server::HttpResponse {
+        let (code, reason, mut response) = match outcome {
+            Ok(response) => ("ok", String::new(), response),
+            Err(e) => (
+                e.code.as_str(),
+                e.message.replace('"', "'"),
+                e.to_response(),
+            ),
         };
-        context.metrics.answers.with_label_values(&[code]).inc();
+        context.metrics.responses.with_label_values(&[code]).inc();
         log::info!(
             "event=answered request={} method={} path={} status={} code={code} ms={} why=\"{}\"",
             self.request_id,
             self.method,
             self.path.escape_debug(),
-            answer.status().as_u16(),
+            response.status().as_u16(),
             self.started.elapsed().as_millis(),
-            why
+            reason
         );
         let name = actix_http::header::HeaderName::from_static(caller_request::REQUEST_HEADER);
         if let Ok(value) = self.request_id.parse() {
-            answer.headers_mut().insert(name, value);
+            response.headers_mut().insert(name, value);
         }
-        answer
+        response
     }
 }
 
@@ -147,7 +151,7 @@
     client: &awc::Client,
     request: actix_http::Request,
     request_id: String,
-) -> error::ApiResult<http_server::HttpAnswer> {
+) -> error::ApiResult<http_server::HttpResponse> {
     let path = request.path().to_owned();
     match path.as_str() {
         "/healthz" => return Ok(http_server::plain(StatusCode::OK, "ok")),
@@ -170,7 +174,7 @@
     client: &awc::Client,
     terms: caller_request::CallerTerms,
     request: actix_http::Request,
-) -> error::ApiResult<http_server::HttpAnswer> {
+) -> error::ApiResult<http_server::HttpResponse> {
     let path = request.path().to_owned();
     let workspace = terms.workspace.id.clone();
     let method = request.method().clone();
@@ -227,7 +231,7 @@
 }
 
 /// Ready: the accepted bundle is in force here, and no stop was begun.
-fn ready(context: &context::GatewayContext) -> http_server::HttpAnswer {
+fn ready(context: &context::GatewayContext) -> http_server::HttpResponse {
     if context.is_stopping() {
         return http_server::plain(StatusCode::SERVICE_UNAVAILABLE, "stopping");
     }
--- a/src/gateway/stream_relay.rs
+++ b/src/gateway/stream_relay.rs
@@ -23,7 +23,7 @@
     /// A piece of the body.
     Piece(bytes::Bytes),
     /// The endpoint answered otherwise: a fault of the request.
-    Whole(endpoint_client::EndpointAnswer),
+    Whole(endpoint_client::EndpointResponse),
     /// The final error.
     Failed(error::ApiError),
 }
@@ -55,12 +55,12 @@
     client: &awc::Client,
     terms: caller_request::CallerTerms,
     call: whole_call::WholeCall,
-    place: admit::WorkspacePlace,
-) -> error::ApiResult<http_server::HttpAnswer> {
+    slot: admit::WorkspaceSlot,
+) -> error::ApiResult<http_server::HttpResponse> {
     let ticket = match terms.key.as_ref().filter(|_| !call.repeatable) {
         None => None,
         Some(key) => match once::begin(context, &terms, key, &call.path, &call.body).await? {
-            once::OnceEntry::Replay(answer) => return Ok(whole_call::to_http(&answer)),
+            once::OnceEntry::Replay(response) => return Ok(whole_call::to_http(&response)),
             once::OnceEntry::Send(ticket) => Some(ticket),
         },
     };
@@ -83,11 +83,11 @@
     };
     actix_rt::spawn(async move {
         relay.run(ticket).await;
-        drop(place);
+        drop(slot);
     });
     match receiver.recv().await {
         Some(RelayItem::Piece(first)) => Ok(event_answer(first, receiver)),
-        Some(RelayItem::Whole(answer)) => Ok(whole_call::to_http(&answer)),
+        Some(RelayItem::Whole(response)) => Ok(whole_call::to_http(&response)),
         Some(RelayItem::Failed(e)) => Err(e),
         None => Err(error::ApiError::ran(
             error::ErrorCode::Internal,
@@ -100,7 +100,7 @@
 fn event_answer(
     first: bytes::Bytes,
     receiver: mpsc::Receiver<RelayItem>,
-) -> http_server::HttpAnswer {
+) -> http_server::HttpResponse {
     let rest = stream::unfold(receiver, |mut receiver| async move {
         let piece = match receiver.recv().await? {
             RelayItem::Piece(piece) => piece,
@@ -133,9 +133,9 @@
     /// Text relayed so far.
     text: String,
     sender: mpsc::Sender<RelayItem>,
-    started: clock::Moment,
-    deadline: clock::Moment,
-    latest: Option<clock::Moment>,
+    started: clock::MonotonicTime,
+    deadline: clock::MonotonicTime,
+    latest: Option<clock::MonotonicTime>,
     failed: collections::HashSet<ids::EndpointId>,
     attempts: u32,
     may_have_run: bool,
@@ -177,16 +177,16 @@
             loop {
                 self.attempts += 1;
                 let (attempt, outcome) = self.attempt(&hold, &take_up).await;
-                let why = match outcome {
+                let reason = match outcome {
                     Ok(PumpEnd::Finished | PumpEnd::CallerGone) => return Ok(()),
                     Ok(PumpEnd::Late) => return Err(self.late()),
-                    Ok(PumpEnd::Cut(why)) => why,
+                    Ok(PumpEnd::Cut(reason)) => reason,
                     Err(ended) => {
                         self.decide(&hold, ended)?;
                         break;
                     }
                 };
-                if protection::is_out("take_up") {
+                if protection::is_disabled("take_up") {
                     return Ok(());
                 }
                 let resumed = matches!(take_up, TakeUp::Resume(_));
@@ -194,7 +194,7 @@
                     take_up = TakeUp::Resume(attempt);
                     continue;
                 }
-                self.decide(&hold, outcome::AttemptOutcome::Unknown(why))?;
+                self.decide(&hold, outcome::AttemptOutcome::Unknown(reason))?;
                 break;
             }
         }
@@ -222,7 +222,7 @@
         hold: &route::RouteHold,
         ended: outcome::AttemptOutcome<()>,
     ) -> error::ApiResult<()> {
-        whole_call::note(&self.context, hold, &ended);
+        whole_call::record(&self.context, hold, &ended);
         self.failed.insert(hold.endpoint.id.clone());
         if !matches!(ended, outcome::AttemptOutcome::NotRun(_)) {
             self.may_have_run = true;
@@ -271,13 +271,13 @@
                 }
                 Ok(end)
             }
-            O::Completed(endpoint_client::OpenedStream::Whole(answer)) => {
-                let _ = self.sender.send(RelayItem::Whole(answer)).await;
+            O::Completed(endpoint_client::OpenedStream::Whole(response)) => {
+                let _ = self.sender.send(RelayItem::Whole(response)).await;
                 Ok(PumpEnd::CallerGone)
             }
             O::NotRun(proof) => Err(O::NotRun(proof)),
-            O::Failed(why) => Err(O::Failed(why)),
-            O::Unknown(why) => Err(O::Unknown(why)),
+            O::Failed(reason) => Err(O::Failed(reason)),
+            O::Unknown(reason) => Err(O::Unknown(reason)),
         };
         (attempt, ended)
     }
@@ -340,7 +340,7 @@
             };
             let event = match next {
                 Ok(Some(Ok(event))) => event,
-                Ok(Some(Err(why))) => return PumpEnd::Cut(why),
+                Ok(Some(Err(reason))) => return PumpEnd::Cut(reason),
                 Ok(None) => return PumpEnd::Cut("the stream ended early".into()),
                 Err(_) if self.deadline <= self.context.clock.now() => return PumpEnd::Late,
                 Err(_) => return PumpEnd::Cut("the endpoint was silent".into()),
@@ -357,9 +357,9 @@
                 return PumpEnd::CallerGone;
             }
             if self.cursor.is_finished() {
-                whole_call::note(&self.context, hold, &outcome::AttemptOutcome::Completed(()));
+                whole_call::record(&self.context, hold, &outcome::AttemptOutcome::Completed(()));
                 let spent = self.context.clock.now().since(self.started);
-                self.observe(&self.context.metrics.whole_answer, spent);
+                self.observe(&self.context.metrics.full_response, spent);
                 return PumpEnd::Finished;
             }
         }
@@ -389,11 +389,11 @@
         self.latest = Some(now);
     }
 
-    fn observe(&self, histogram: &prometheus::HistogramVec, span: time::Duration) {
+    fn observe(&self, histogram: &prometheus::HistogramVec, duration: time::Duration) {
         let workspace = self.terms.workspace.id.as_str();
         let class = self.terms.class.as_str();
         self.context
             .metrics
-            .observe(histogram, workspace, class, span);
+            .observe(histogram, workspace, class, duration);
     }
 }
--- a/src/gateway/whole_call.rs
+++ b/src/gateway/whole_call.rs
@@ -29,10 +29,10 @@
 }
 
 /// The answer of an endpoint as it goes to the caller.
-pub fn to_http(answer: &endpoint_client::EndpointAnswer) -> http_server::HttpAnswer {
-    actix_http::Response::build(answer.status)
-        .insert_header(("content-type", answer.content_type.as_str()))
-        .body(answer.body.clone())
+pub fn to_http(response: &endpoint_client::EndpointResponse) -> http_server::HttpResponse {
+    actix_http::Response::build(response.status)
+        .insert_header(("content-type", response.content_type.as_str()))
+        .body(response.body.clone())
         .map_into_boxed_body()
 }
 
@@ -45,13 +45,18 @@
     client: &awc::Client,
     terms: &caller_request::CallerTerms,
     call: WholeCall,
-) -> error::ApiResult<endpoint_client::EndpointAnswer> {
-    let answer = run_recorded(context, client, terms, call).await?;
+) -> error::ApiResult<endpoint_client::EndpointResponse> {
+    let response = run_recorded(context, client, terms, call).await?;
     let workspace = terms.workspace.id.as_str();
-    let span = terms.arrived.elapsed();
+    let duration = terms.arrived.elapsed();
     let metrics = &context.metrics;
-    metrics.observe(&metrics.whole_answer, workspace, terms.class.as_str(), span);
-    Ok(answer)
+    metrics.observe(
+        &metrics.full_response,
+        workspace,
+        terms.class.as_str(),
+        duration,
+    );
+    Ok(response)
 }
 
 /// Runs a call; one with a key that may not be repeated is recorded first.
@@ -60,14 +65,14 @@
     client: &awc::Client,
     terms: &caller_request::CallerTerms,
     call: WholeCall,
-) -> error::ApiResult<endpoint_client::EndpointAnswer> {
-    let recorded = !call.repeatable && !protection::is_out("once_record");
+) -> error::ApiResult<endpoint_client::EndpointResponse> {
+    let recorded = !call.repeatable && !protection::is_disabled("once_record");
     let Some(key) = terms.key.as_ref().filter(|_| recorded) else {
         return run(context, client, terms, &call).await;
     };
     let path = format!("{}{}", call.service, call.path);
     match once::begin(context, terms, key, &path, &call.body).await? {
-        once::OnceEntry::Replay(answer) => Ok(answer),
+        once::OnceEntry::Replay(response) => Ok(response),
         once::OnceEntry::Send(ticket) => {
             // Apart from the caller's connection: the record must be ended even if it goes.
             let (context, client, terms) = (context.clone(), client.clone(), terms.clone());
@@ -94,7 +99,7 @@
     client: &awc::Client,
     terms: &caller_request::CallerTerms,
     call: &WholeCall,
-) -> error::ApiResult<endpoint_client::EndpointAnswer> {
+) -> error::ApiResult<endpoint_client::EndpointResponse> {
     let deadline = context.clock.now() + terms.timeout;
     let retry_terms = retry::RetryTerms {
         repeatable: call.repeatable,
@@ -118,12 +123,17 @@
         };
         if attempts == 1 {
             let workspace = terms.workspace.id.as_str();
-            let span = terms.arrived.elapsed();
+            let duration = terms.arrived.elapsed();
             let metrics = &context.metrics;
-            metrics.observe(&metrics.queue_time, workspace, terms.class.as_str(), span);
+            metrics.observe(
+                &metrics.queue_time,
+                workspace,
+                terms.class.as_str(),
+                duration,
+            );
         }
         let outcome = attempt(context, client, call, &hold, deadline).await;
-        note(context, &hold, &outcome);
+        record(context, &hold, &outcome);
         if !matches!(outcome, outcome::AttemptOutcome::NotRun(_)) {
             may_have_run = true;
         }
@@ -154,8 +164,8 @@
     client: &awc::Client,
     call: &WholeCall,
     hold: &route::RouteHold,
-    deadline: crate::clock::Moment,
-) -> outcome::AttemptOutcome<endpoint_client::EndpointAnswer> {
+    deadline: crate::clock::MonotonicTime,
+) -> outcome::AttemptOutcome<endpoint_client::EndpointResponse> {
     let Ok(attempt) = ids::unique("att").parse() else {
         return outcome::AttemptOutcome::NotRun(outcome::NotRunProof::never_sent());
     };
@@ -174,7 +184,7 @@
 }
 
 /// Notes an attempt's end in health, retry budget and metrics.
-pub fn note<T>(
+pub fn record<T>(
     context: &context::GatewayContext,
     hold: &route::RouteHold,
     outcome: &outcome::AttemptOutcome<T>,
@@ -182,23 +192,23 @@
     let id = &hold.endpoint.id;
     let label = match outcome {
         outcome::AttemptOutcome::Completed(_) => {
-            context.health().note_success(id);
+            context.health().record_success(id);
             context.retries().earn();
             "completed"
         }
         outcome::AttemptOutcome::NotRun(_) => {
-            context.health().note_failure(id, context.clock.now());
+            context.health().record_failure(id, context.clock.now());
             "not_run"
         }
         outcome::AttemptOutcome::Failed(_) => {
-            context.health().note_failure(id, context.clock.now());
+            context.health().record_failure(id, context.clock.now());
             "failed"
         }
-        outcome::AttemptOutcome::Unknown(why) => {
-            if why == endpoint_client::CROSSED {
+        outcome::AttemptOutcome::Unknown(reason) => {
+            if reason == endpoint_client::CROSSED {
                 context.metrics.crossed.inc();
             }
-            context.health().note_failure(id, context.clock.now());
+            context.health().record_failure(id, context.clock.now());
             "unknown"
         }
     };
--- a/src/link/client.rs
+++ b/src/link/client.rs
@@ -6,10 +6,10 @@
 use tokio_util::codec::length_delimited;
 
 use super::{
-    secret, BundleOffer, LinkSecret, PeerLinkClient, PermitAnswer, PermitRelease, PermitRequest,
+    secret, BundleOffer, LinkSecret, PeerLinkClient, PermitRelease, PermitRequest, PermitResponse,
     CONNECT_TIMEOUT,
 };
-use crate::{bundle, noted::NotedError as _};
+use crate::{bundle, log_error::LogError as _};
 
 /// Calls that may wait in the ring to the link thread.
 const RING_CALLS: usize = 4096;
@@ -31,7 +31,7 @@
     Permit {
         peer: net::SocketAddr,
         request: PermitRequest,
-        reply: oneshot::Sender<Result<PermitAnswer, LinkError>>,
+        reply: oneshot::Sender<Result<PermitResponse, LinkError>>,
     },
     Release {
         peer: net::SocketAddr,
@@ -77,8 +77,8 @@
         &self,
         peer: net::SocketAddr,
         request: PermitRequest,
-    ) -> Result<PermitAnswer, LinkError> {
-        let (reply, answer) = oneshot::channel();
+    ) -> Result<PermitResponse, LinkError> {
+        let (reply, response) = oneshot::channel();
         let call = LinkCall::Permit {
             peer,
             request,
@@ -87,19 +87,19 @@
         self.ring
             .try_send(call)
             .map_err(|_| LinkError::Unreachable)?;
-        answer.await.unwrap_or(Err(LinkError::Unreachable))
+        response.await.unwrap_or(Err(LinkError::Unreachable))
     }
 
     /// Ends a permit; a lost message is made up for by the permit's expiry.
     pub fn release(&self, peer: net::SocketAddr, release: PermitRelease) {
         let sent = self.ring.try_send(LinkCall::Release { peer, release });
-        sent.noted("release_dropped");
+        sent.ok_or_log("release_dropped");
     }
 
     /// Tells a peer an accepted bundle.
     pub fn offer_bundle(&self, peer: net::SocketAddr, offer: BundleOffer) {
         let sent = self.ring.try_send(LinkCall::Offer { peer, offer });
-        sent.noted("bundle_offer_dropped");
+        sent.ok_or_log("bundle_offer_dropped");
     }
 
     /// Asks a peer for a bundle above `known`.
@@ -108,10 +108,10 @@
         peer: net::SocketAddr,
         known: bundle::BundleGeneration,
     ) -> Option<BundleOffer> {
-        let (reply, answer) = oneshot::channel();
+        let (reply, response) = oneshot::channel();
         let call = LinkCall::Ask { peer, known, reply };
-        self.ring.try_send(call).noted("bundle_unasked")?;
-        answer.await.noted("bundle_unanswered").flatten()
+        self.ring.try_send(call).ok_or_log("bundle_unasked")?;
+        response.await.ok_or_log("bundle_unanswered").flatten()
     }
 }
 
@@ -138,16 +138,16 @@
             } => {
                 let client = connected(&peers, peer, &shared);
                 actix_rt::spawn(async move {
-                    let answer = ask_permit(client, request, permit_timeout).await;
+                    let response = request_permit(client, request, permit_timeout).await;
                     // The asker may have stopped waiting.
-                    drop(reply.send(answer));
+                    drop(reply.send(response));
                 });
             }
             LinkCall::Release { peer, release } => {
                 if let Some(client) = connected(&peers, peer, &shared) {
                     actix_rt::spawn(async move {
-                        let told = client.release(tarpc::context::current(), release).await;
-                        told.noted("release_lost");
+                        let sent = client.release(tarpc::context::current(), release).await;
+                        sent.ok_or_log("release_lost");
                     });
                 }
             }
@@ -155,8 +155,8 @@
                 let client = connect_wait(&peers, peer, &shared);
                 actix_rt::spawn(async move {
                     if let Some(client) = client.await {
-                        let told = client.offer_bundle(tarpc::context::current(), offer).await;
-                        told.noted("bundle_offer_lost");
+                        let sent = client.offer_bundle(tarpc::context::current(), offer).await;
+                        sent.ok_or_log("bundle_offer_lost");
                     }
                 });
             }
@@ -164,10 +164,10 @@
                 let client = connect_wait(&peers, peer, &shared);
                 actix_rt::spawn(async move {
                     if let Some(client) = client.await {
-                        let answer = client.newer_bundle(tarpc::context::current(), known).await;
-                        let answer = answer.noted("bundle_unanswered").flatten();
+                        let response = client.newer_bundle(tarpc::context::current(), known).await;
+                        let response = response.ok_or_log("bundle_unanswered").flatten();
                         // The asker may have stopped waiting.
-                        drop(reply.send(answer));
+                        drop(reply.send(response));
                     }
                 });
             }
@@ -175,16 +175,16 @@
     }
 }
 
-async fn ask_permit(
+async fn request_permit(
     client: Option<PeerLinkClient>,
     request: PermitRequest,
     timeout: time::Duration,
-) -> Result<PermitAnswer, LinkError> {
+) -> Result<PermitResponse, LinkError> {
     let client = client.ok_or(LinkError::Unreachable)?;
     let mut context = tarpc::context::current();
     context.deadline = time::Instant::now() + timeout;
     match client.permit(context, request).await {
-        Ok(answer) => Ok(answer),
+        Ok(response) => Ok(response),
         Err(tarpc::client::RpcError::DeadlineExceeded) => Err(LinkError::TimedOut),
         Err(_) => Err(LinkError::Unreachable),
     }
@@ -254,7 +254,7 @@
         .borrow_mut()
         .insert(peer, PeerState::Connected(new.client));
     // The dispatch ends when the connection does.
-    new.dispatch.await.noted("link_lost");
+    new.dispatch.await.ok_or_log("link_lost");
     let failed = PeerState::Failed(time::Instant::now());
     peers.borrow_mut().insert(peer, failed);
 }
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -25,11 +25,11 @@
     /// Seconds between tokens, by workspace and class.
     pub between_tokens: prometheus::HistogramVec,
     /// Seconds to the whole answer, by workspace and class.
-    pub whole_answer: prometheus::HistogramVec,
+    pub full_response: prometheus::HistogramVec,
     /// Seconds from arrival to the first attempt, by workspace and class.
     pub queue_time: prometheus::HistogramVec,
     /// Answers by status code of the error shape, or `ok`.
-    pub answers: prometheus::IntCounterVec,
+    pub responses: prometheus::IntCounterVec,
     /// Attempts by how they ended.
     pub attempts: prometheus::IntCounterVec,
     /// Attempts that did not run, by reason.
@@ -69,7 +69,7 @@
     /// Deposits with the pools of this process, by what came of them.
     pub limit_deposits: prometheus::IntCounterVec,
     /// Places at owned endpoints that somebody has, by what for.
-    pub held_places: prometheus::IntGaugeVec,
+    pub held_slots: prometheus::IntGaugeVec,
 }
 
 fn register<C: Collector + Clone + 'static>(registry: &prometheus::Registry, metric: C) -> C {
@@ -124,9 +124,9 @@
             labels: sync::Mutex::default(),
             first_token: histogram(r, "jayhollow_first_token_seconds", "Time to first token"),
             between_tokens: histogram(r, "jayhollow_between_tokens_seconds", "Between tokens"),
-            whole_answer: histogram(r, "jayhollow_whole_answer_seconds", "Whole answer"),
+            full_response: histogram(r, "jayhollow_whole_answer_seconds", "Whole answer"),
             queue_time: histogram(r, "jayhollow_queue_seconds", "Arrival to first attempt"),
-            answers: counters(r, "jayhollow_answers_total", "Answers", "code"),
+            responses: counters(r, "jayhollow_answers_total", "Answers", "code"),
             attempts: counters(r, "jayhollow_attempts_total", "Attempts", "outcome"),
             refusals: counters(
                 r,
@@ -192,7 +192,7 @@
             ),
             bundle_generation: gauge(r, "jayhollow_bundle_generation", "Bundle in use"),
             state_version: gauge(r, "jayhollow_state_version", "Desired state in force"),
-            held_places: gauges(
+            held_slots: gauges(
                 r,
                 "jayhollow_held_places",
                 "Places at owned endpoints that somebody has",
@@ -223,12 +223,12 @@
         histogram: &prometheus::HistogramVec,
         workspace: &str,
         class: &str,
-        span: time::Duration,
+        duration: time::Duration,
     ) {
         let labels = [self.workspace_label(workspace), class];
         histogram
             .with_label_values(&labels)
-            .observe(span.as_secs_f64());
+            .observe(duration.as_secs_f64());
     }
 
     /// All metrics in the text form that Prometheus reads.
--- a/src/serving/context.rs
+++ b/src/serving/context.rs
@@ -113,11 +113,11 @@
     /// Who may own endpoints and jobs now.
     pub(super) owners: cell::RefCell<rc::Rc<Vec<ownership::OwnerCandidate>>>,
     /// Places that owners said they could give.
-    pub rooms: cell::RefCell<collections::HashMap<(ids::InstanceId, ids::ServiceName), u32>>,
+    pub free_slots: cell::RefCell<collections::HashMap<(ids::InstanceId, ids::ServiceName), u32>>,
     /// How soon first events of a service come.
     pub firsts: cell::RefCell<collections::HashMap<ids::ServiceName, queue_limit::FirstEstimate>>,
     /// What it said of itself last, and when.
-    last_hello: cell::RefCell<Option<(clock::Moment, peers::PeerHello)>>,
+    last_hello: cell::RefCell<Option<(clock::MonotonicTime, peers::PeerHello)>>,
     /// Change of the list of endpoints up to which it is worked out what is owned.
     pub(super) owned_at: cell::Cell<Option<u64>>,
     /// Whether the members were read from the store.
@@ -125,7 +125,7 @@
     /// Told when records of members were learned.
     pub(super) members_news: tokio::sync::Notify,
     /// When a peer was asked for the members.
-    pub(super) members_asked: cell::Cell<Option<clock::Moment>>,
+    pub(super) members_asked: cell::Cell<Option<clock::MonotonicTime>>,
     /// Requests that crash endpoints.
     pub(super) crashes: crash_guard::CrashGuard,
     /// Desired states on their way from and to peers.
@@ -139,9 +139,9 @@
     /// When the process was asked to stop.
     pub(super) stop_begun: cell::Cell<Option<clock::BootInstant>>,
     /// When the process began.
-    pub(super) begun: clock::Moment,
+    pub(super) begun: clock::MonotonicTime,
     /// Since when a peer has had a newer list of endpoints, and the own number of it then.
-    pub(super) differing_since: cell::Cell<Option<(clock::Moment, u64)>>,
+    pub(super) differing_since: cell::Cell<Option<(clock::MonotonicTime, u64)>>,
     /// Counts the times that the machine was suspended.
     pub(super) wakes: watch::Sender<u64>,
     /// Whether the process was asked to stop.
@@ -151,7 +151,7 @@
     /// Tokens for the requests of workspaces with limits.
     pub limiter: limiter::Limiter,
     /// Pools of such tokens that this process keeps.
-    pub pools: cell::RefCell<token_pools::PoolBoard>,
+    pub pools: cell::RefCell<token_pools::PoolTable>,
     /// The own share of all limits, as far as it is not deposited.
     pub(super) shares: cell::RefCell<share_clock::ShareClock>,
     /// The latest stamps of peers, and their runs.
@@ -173,10 +173,10 @@
     ) -> Self {
         let begun = borders.clock.now();
         let pools =
-            token_pools::PoolBoard::new(options.member.id.clone(), options.tolerance, begun);
+            token_pools::PoolTable::new(options.member.id.clone(), options.tolerance, begun);
         let run = ids::InstanceRun {
             instance: options.member.id.clone(),
-            run: ids::RunNumber::draw(),
+            run: ids::RunNumber::random(),
         };
         Self {
             run,
@@ -197,7 +197,7 @@
             progress_queue: progress_transfer::ProgressQueue::default(),
             checkpoint_file: progress.file,
             owners: cell::RefCell::default(),
-            rooms: cell::RefCell::default(),
+            free_slots: cell::RefCell::default(),
             firsts: cell::RefCell::default(),
             last_hello: cell::RefCell::default(),
             owned_at: cell::Cell::new(None),
@@ -271,8 +271,8 @@
     }
 
     /// Whether a process answers this process itself.
-    pub fn hears(&self, id: &ids::InstanceId) -> bool {
-        self.members.borrow().hears(id, self.clock.now())
+    pub fn receives_from(&self, id: &ids::InstanceId) -> bool {
+        self.members.borrow().receives_from(id, self.clock.now())
     }
 
     /// Gateways through which a process that is cut off reaches the owners.
@@ -302,7 +302,7 @@
         hello
     }
 
-    fn make_hello(&self, now: clock::Moment) -> peers::PeerHello {
+    fn make_hello(&self, now: clock::MonotonicTime) -> peers::PeerHello {
         let members = self.members.borrow();
         let heard = members.heard_dispatchers(now);
         peers::PeerHello {
@@ -313,11 +313,11 @@
             version: self.fleet.table().version(),
             revision: self.fleet.revision(),
             digest: self.fleet.digest(),
-            hears: heard.iter().map(members::MemberMark::of).collect(),
+            receives_from: heard.iter().map(members::MemberMark::of).collect(),
             follows_store: self.fleet.is_following() && self.members_known.get(),
             members: members.digest(&self.options.member),
             crashes: self.crashes.number(),
-            rooms: self.permits.borrow().rooms(),
+            free_slots: self.permits.borrow().free_slots(),
             stamp: limit_messages::ClockStamp::of(now),
             deposit: None,
         }
--- a/src/serving/crash_guard.rs
+++ b/src/serving/crash_guard.rs
@@ -22,13 +22,13 @@
 /// Pauses between two questions to peers that know something else. A crash is to be
 /// known everywhere within a second; a peer that knows less than this process brings
 /// nothing, and asks in its turn.
-const PULL_PACE: retry::PauseRange = retry::PauseRange {
+const PULL_PACE: retry::DelayRange = retry::DelayRange {
     first: time::Duration::from_millis(50),
     last: time::Duration::from_millis(500),
 };
 
 /// Pauses between two tries to write a record while the store is away.
-const SAVE_PACE: retry::PauseRange = retry::PauseRange {
+const SAVE_PACE: retry::DelayRange = retry::DelayRange {
     first: time::Duration::from_millis(700),
     last: time::Duration::from_secs(10),
 };
@@ -40,7 +40,7 @@
 const PEER_TIME: time::Duration = time::Duration::from_secs(1);
 
 /// Pauses before the records are read again, while the store is away.
-const READ_PACE: retry::PauseRange = SAVE_PACE;
+const READ_PACE: retry::DelayRange = SAVE_PACE;
 
 /// A request that is held back, as it lies in the store.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
@@ -63,7 +63,7 @@
     /// Answers of peers in a row that brought nothing.
     fruitless: cell::Cell<u32>,
     /// When a peer may be asked next.
-    ask_at: cell::Cell<clock::Moment>,
+    ask_at: cell::Cell<clock::MonotonicTime>,
 }
 
 impl CrashGuard {
@@ -83,7 +83,7 @@
     }
 
     /// What is known, for a peer.
-    pub(super) fn copy(&self, now: clock::Moment) -> Vec<crash_ledger::CrashNews> {
+    pub(super) fn copy(&self, now: clock::MonotonicTime) -> Vec<crash_ledger::CrashUpdate> {
         self.ledger.borrow().copy(now)
     }
 }
@@ -117,12 +117,12 @@
 }
 
 /// Notes that an endpoint ended under a request, and tells the others.
-pub(super) fn note_crash(
+pub(super) fn record_crash(
     context: &rc::Rc<context::ProcessContext>,
     run: &crash_ledger::CrashedRun,
 ) -> crash_ledger::CrashOutcome {
     let now = context.clock.now();
-    let outcome = context.crashes.ledger.borrow_mut().note_crash(run, now);
+    let outcome = context.crashes.ledger.borrow_mut().record_crash(run, now);
     if let crash_ledger::CrashOutcome::Counted(count) = outcome {
         tell(context, run.digest);
         if count >= crash_ledger::MAX_CRASHES {
@@ -133,11 +133,11 @@
 }
 
 /// Notes that an endpoint ran a request to its end: it does not crash each that begins it.
-pub(super) fn note_served(context: &rc::Rc<context::ProcessContext>, digest: ids::RequestDigest) {
+pub(super) fn record_served(context: &rc::Rc<context::ProcessContext>, digest: ids::RequestDigest) {
     let now = context.clock.now();
     let mut ledger = context.crashes.ledger.borrow_mut();
     let was_held = ledger.is_blamed(digest);
-    let is_cleared = ledger.note_served(digest, now);
+    let is_cleared = ledger.record_served(digest, now);
     drop(ledger);
     if !is_cleared {
         return;
@@ -151,15 +151,15 @@
 
 /// Tells the owners what is known of a request; the others ask them.
 fn tell(context: &context::ProcessContext, digest: ids::RequestDigest) {
-    let news = context.crashes.ledger.borrow();
-    let Some(news) = news.news_of(digest, context.clock.now()) else {
+    let update = context.crashes.ledger.borrow();
+    let Some(update) = update.update_of(digest, context.clock.now()) else {
         return;
     };
     let owners = context.owners();
     let others = owners.iter().filter(|owner| owner.id != *context.id());
     for owner in others {
         if let Some(address) = context.members.borrow().address_of(&owner.id) {
-            context.links.crash_news(address, news.clone());
+            context.links.crash_news(address, update.clone());
         }
     }
 }
@@ -170,14 +170,14 @@
 /// owners, who are told of each, write down what is held back by all together.
 pub(super) fn take(
     context: &rc::Rc<context::ProcessContext>,
-    news: crash_ledger::CrashNews,
+    update: crash_ledger::CrashUpdate,
 ) -> bool {
-    let digest = news.digest;
+    let digest = update.digest;
     let was_held = context.crashes.is_blamed(digest);
-    let is_new = merge(context, news);
+    let is_new = merge(context, update);
     let now = context.clock.now();
     // Who has just started has seen nothing served, and blames what others know better.
-    if context.crashes.ledger.borrow_mut().vouch(digest, now) {
+    if context.crashes.ledger.borrow_mut().exonerate(digest, now) {
         log::info!("event=request_cleared digest={digest} held={was_held}");
         tell(context, digest);
     }
@@ -190,12 +190,12 @@
 
 /// Joins what another process, or the store, knows with what is known here; says whether
 /// it was new.
-fn merge(context: &context::ProcessContext, news: crash_ledger::CrashNews) -> bool {
+fn merge(context: &context::ProcessContext, update: crash_ledger::CrashUpdate) -> bool {
     let now = context.clock.now();
-    let digest = news.digest;
+    let digest = update.digest;
     let mut ledger = context.crashes.ledger.borrow_mut();
     let was_held = ledger.is_blamed(digest);
-    let is_new = ledger.merge(news, now);
+    let is_new = ledger.merge(update, now);
     let is_held = ledger.is_blamed(digest);
     if was_held != is_held {
         let verdict = ledger.verdict(digest, now);
@@ -223,11 +223,15 @@
     let is_due = context.clock.now() >= guard.ask_at.get();
     if is_due && hello.crashes != guard.number() {
         let id = hello.id.clone();
-        actix_rt::spawn(ask(context.clone(), peer, id));
+        actix_rt::spawn(send_request(context.clone(), peer, id));
     }
 }
 
-async fn ask(context: rc::Rc<context::ProcessContext>, peer: net::SocketAddr, id: ids::InstanceId) {
+async fn send_request(
+    context: rc::Rc<context::ProcessContext>,
+    peer: net::SocketAddr,
+    id: ids::InstanceId,
+) {
     let guard = &context.crashes;
     let Some(_flight) = guard.flight.begin() else {
         return;
@@ -235,7 +239,9 @@
     context.links.settle(peer).await;
     let is_new = match context.links.crashes(peer, PULL_TIMEOUT).await {
         Ok(all) => {
-            let new = all.into_iter().filter(|news| take(&context, news.clone()));
+            let new = all
+                .into_iter()
+                .filter(|update| take(&context, update.clone()));
             let count = new.count();
             log::info!("event=crashes_from_peer peer={id} new={count}");
             count > 0
@@ -247,8 +253,8 @@
     };
     let fruitless = if is_new { 0 } else { guard.fruitless.get() + 1 };
     guard.fruitless.set(fruitless);
-    let pause = retry::pause_after(fruitless, &PULL_PACE, &mut rand::rng());
-    guard.ask_at.set(context.clock.now() + pause);
+    let delay = retry::backoff_delay(fruitless, &PULL_PACE, &mut rand::rng());
+    guard.ask_at.set(context.clock.now() + delay);
 }
 
 /// Forgets what is too old; the first owner removes what lies in the store of it.
@@ -278,19 +284,19 @@
     let mut written = None;
     for earlier in 0..SAVE_TRIES {
         let now = context.clock.now();
-        let news = context.crashes.ledger.borrow().news_of(digest, now);
-        let Some(news) = news else { break };
-        let known = (news.crashes.len(), news.cleared.len());
+        let update = context.crashes.ledger.borrow().update_of(digest, now);
+        let Some(update) = update else { break };
+        let known = (update.crashes.len(), update.cleared.len());
         // Looked at again, as a crash may have come while the last write was under way.
         if written == Some(known) {
             break;
         }
-        match write(&context, news).await {
+        match write(&context, update).await {
             Ok(()) => written = Some(known),
             Err(e) => {
                 log::info!("event=held_request_unwritten digest={digest} why=\"{e}\"");
-                let pause = retry::pause_after(earlier, &SAVE_PACE, &mut rand::rng());
-                actix_rt::time::sleep(pause).await;
+                let delay = retry::backoff_delay(earlier, &SAVE_PACE, &mut rand::rng());
+                actix_rt::time::sleep(delay).await;
             }
         }
     }
@@ -299,13 +305,13 @@
 
 async fn write(
     context: &context::ProcessContext,
-    news: crash_ledger::CrashNews,
+    update: crash_ledger::CrashUpdate,
 ) -> store::StoreResult<()> {
-    let key = key_of(news.digest);
-    let age = news.age.as_millis() as u64;
+    let key = key_of(update.digest);
+    let age = update.age.as_millis() as u64;
     let record = HeldRecord {
-        crashes: news.crashes,
-        cleared: news.cleared,
+        crashes: update.crashes,
+        cleared: update.cleared,
         last_ms: clock::epoch_ms().saturating_sub(age),
     };
     let value = store::encode(&record);
@@ -348,8 +354,8 @@
             }
             Err(e) => log::info!("event=held_requests_unread why=\"{e}\""),
         }
-        let pause = retry::pause_after(earlier, &READ_PACE, &mut rand::rng());
-        actix_rt::time::sleep(pause).await;
+        let delay = retry::backoff_delay(earlier, &READ_PACE, &mut rand::rng());
+        actix_rt::time::sleep(delay).await;
     }
 }
 
@@ -366,17 +372,17 @@
     match digest.and_then(|digest| Ok((digest, record?))) {
         Ok((digest, record)) => {
             let age_ms = clock::epoch_ms().saturating_sub(record.last_ms);
-            let news = crash_ledger::CrashNews {
+            let update = crash_ledger::CrashUpdate {
                 digest,
                 crashes: record.crashes,
                 cleared: record.cleared,
                 age: time::Duration::from_millis(age_ms),
             };
             // It was served since: nothing hangs on the record any more.
-            if news.count() < crash_ledger::MAX_CRASHES {
+            if update.count() < crash_ledger::MAX_CRASHES {
                 actix_rt::spawn(remove(context.clone(), digest));
             }
-            merge(context, news);
+            merge(context, update);
         }
         Err(e) => log::warn!(
             "event=held_request_unreadable key={} why=\"{e}\"",
--- a/src/serving/fleet_source.rs
+++ b/src/serving/fleet_source.rs
@@ -9,13 +9,13 @@
 
 /// News from the source.
 #[derive(Debug, Clone)]
-pub enum FleetNews {
+pub enum FleetUpdate {
     /// The desired state.
     State(route_table::DesiredState),
     /// All endpoints at a revision of the store.
     Endpoints(u64, Vec<directory::EndpointEntry>),
     /// All endpoints as a peer knows them.
-    PeerEndpoints(directory::DirectoryCopy),
+    PeerEndpoints(directory::DirectorySnapshot),
     /// Changes of the endpoints up to a revision of the store.
     EndpointChanges(u64, Vec<directory::ListChange>),
     /// The source answers, or does not.
--- a/src/serving/job_board.rs
+++ b/src/serving/job_board.rs
@@ -44,7 +44,7 @@
     /// Whether the other owners are being asked for places.
     pub borrowing: cell::Cell<bool>,
     /// How long items of a service hold places in all.
-    spans: cell::RefCell<collections::HashMap<ids::ServiceName, item_order::SpanEstimate>>,
+    spans: cell::RefCell<collections::HashMap<ids::ServiceName, item_order::DurationEstimate>>,
     /// Told when the owners of jobs changed.
     pub owners_changed: Notify,
 }
@@ -66,13 +66,13 @@
     }
 
     /// Notes the marks of ended jobs that a watch brought.
-    pub fn note_ended(&self, ids: impl Iterator<Item = ids::JobId>) {
+    pub fn record_ended(&self, ids: impl Iterator<Item = ids::JobId>) {
         let mut ended = self.ended.borrow_mut();
         ended.get_or_insert_default().extend(ids);
     }
 
     /// Notes one end that a peer or a caller told.
-    pub fn note_end(&self, id: &ids::JobId) {
+    pub fn record_end(&self, id: &ids::JobId) {
         if let Some(ended) = self.ended.borrow_mut().as_mut() {
             ended.insert(id.clone());
         }
@@ -101,10 +101,10 @@
     }
 
     /// Notes how long an item held places, from its first run to its end.
-    pub fn note_span(&self, service: &ids::ServiceName, span: time::Duration) {
+    pub fn record_span(&self, service: &ids::ServiceName, duration: time::Duration) {
         let mut spans = self.spans.borrow_mut();
         let estimate = spans.entry(service.clone()).or_default();
-        estimate.note(span.as_millis() as u64);
+        estimate.record(duration.as_millis() as u64);
     }
 
     /// How long an item needs that held places for a while; nothing while it is not known.
@@ -222,8 +222,12 @@
 /// while no desired state names the route, as just after a start.
 pub fn due_of(context: &context::ProcessContext, record: &job_records::JobRecord) -> Option<u64> {
     let table = context.fleet.table();
-    let span = table.find_batch(&record.host)?.completion_objective;
-    Some(record.submitted_ms.saturating_add(span.as_millis() as u64))
+    let duration = table.find_batch(&record.host)?.completion_objective;
+    Some(
+        record
+            .submitted_ms
+            .saturating_add(duration.as_millis() as u64),
+    )
 }
 
 /// Works out when a job is due, if that was not known yet.
@@ -257,8 +261,8 @@
         }
         let part = match job_records::read_part(context.store.as_ref(), &id, parts).await {
             // It stays as it is, and its number is taken: the items have no results in it.
-            Err(store::StoreError::Corrupt(why)) => {
-                log::warn!("event=part_unreadable job={id} part={parts} why=\"{why}\"");
+            Err(store::StoreError::Corrupt(reason)) => {
+                log::warn!("event=part_unreadable job={id} part={parts} why=\"{reason}\"");
                 Some(job_records::ResultPart::default())
             }
             part => part?,
@@ -286,13 +290,13 @@
 /// The store does not answer, and what is known here may not be all.
 pub async fn read_results(
     context: &rc::Rc<context::ProcessContext>,
-    ask: &peers::ResultAsk,
+    request: &peers::ResultRequest,
 ) -> store::StoreResult<Option<wire::ResultPage>> {
-    let Some(job) = load(context, &ask.job).await? else {
+    let Some(job) = load(context, &request.job).await? else {
         return Ok(None);
     };
-    let owned = context.job_owner(&ask.job).as_ref() == Some(context.id());
-    let until = clock::BootInstant::now() + ask.wait;
+    let owned = context.job_owner(&request.job).as_ref() == Some(context.id());
+    let until = clock::BootInstant::now() + request.wait;
     if !job.borrow().is_known {
         learn(context, &job).await?;
     }
@@ -304,19 +308,19 @@
             let known = job.committed.len();
             (known, job.is_over(), stale, job.changed.subscribe())
         };
-        let behind = ask.after > known || (!owned && ask.after >= known);
+        let behind = request.after > known || (!owned && request.after >= known);
         if behind && stale && !over {
             refresh(context, &job).await?;
             continue;
         }
         let left = until.duration_since(clock::BootInstant::now());
-        if known > ask.after || over || left.is_zero() {
-            return Ok(Some(job.borrow().page(ask.after)));
+        if known > request.after || over || left.is_zero() {
+            return Ok(Some(job.borrow().page(request.after)));
         }
         let timeout = if owned { left } else { left.min(FRESH) };
         let changed = tokio::time::timeout(timeout, changes.changed()).await;
         if matches!(changed, Ok(Err(_))) {
-            log::warn!("event=job_forgotten job={}", ask.job);
+            log::warn!("event=job_forgotten job={}", request.job);
         }
     }
 }
@@ -372,7 +376,7 @@
             Err(e) => {
                 is_settled &= e != store::StoreError::Unknown;
                 log::warn!("event=results_uncommitted job={id} part={number} why=\"{e}\"");
-                actix_rt::time::sleep(backoff.next_pause()).await;
+                actix_rt::time::sleep(backoff.next_delay()).await;
             }
         }
     }
--- a/src/serving/job_calls.rs
+++ b/src/serving/job_calls.rs
@@ -32,7 +32,7 @@
     context: &rc::Rc<context::ProcessContext>,
     submission: Submission<'_>,
     body: bytes::Bytes,
-) -> http_server::HttpAnswer {
+) -> http_server::HttpResponse {
     let Submission {
         route,
         terms,
@@ -52,9 +52,9 @@
     });
     let items = match items {
         Ok(items) => items,
-        Err(why) => {
-            log::info!("event=job_invalid job={id} why=\"{why}\"");
-            return http_server::plain(StatusCode::BAD_REQUEST, format!("{why}\n"));
+        Err(reason) => {
+            log::info!("event=job_invalid job={id} why=\"{reason}\"");
+            return http_server::plain(StatusCode::BAD_REQUEST, format!("{reason}\n"));
         }
     };
     drop(body);
@@ -76,7 +76,7 @@
         spent.as_millis()
     );
     let metrics = &context.metrics;
-    metrics.observe(&metrics.whole_answer, &route.name, "batch", spent);
+    metrics.observe(&metrics.full_response, &route.name, "batch", spent);
     match accepted {
         job_acceptance::Acceptance::Accepted => {
             job_sponsor::sponsor(context, rc::Rc::new(record));
@@ -92,19 +92,19 @@
     }
 }
 
-fn refused(why: &'static str) -> http_server::HttpAnswer {
+fn refused(reason: &'static str) -> http_server::HttpResponse {
     actix_http::Response::build(StatusCode::SERVICE_UNAVAILABLE)
         .insert_header((header::RETRY_AFTER, REFUSED_PAUSE))
-        .body(why)
+        .body(reason)
         .map_into_boxed_body()
 }
 
 /// Answers a call about a job.
-pub async fn answer(
+pub async fn respond(
     context: &rc::Rc<context::ProcessContext>,
     call: wire::JobCall,
     workspace: Option<&ids::WorkspaceId>,
-) -> http_server::HttpAnswer {
+) -> http_server::HttpResponse {
     let scoped = match request_admission::scoped_job(call.job(), workspace) {
         Ok(scoped) => scoped,
         Err(e) => {
@@ -119,7 +119,7 @@
     }
 }
 
-fn no_job() -> http_server::HttpAnswer {
+fn no_job() -> http_server::HttpResponse {
     http_server::plain(StatusCode::NOT_FOUND, "there is no such job\n")
 }
 
@@ -129,15 +129,15 @@
     job: ids::JobId,
     after: usize,
     wait: time::Duration,
-) -> http_server::HttpAnswer {
-    let ask = peers::ResultAsk { job, after, wait };
-    match read_page(context, &ask).await {
+) -> http_server::HttpResponse {
+    let request = peers::ResultRequest { job, after, wait };
+    match read_page(context, &request).await {
         Ok(Some(page)) => page_answer(context, &page),
         Ok(None) => no_job(),
         Err(e) => {
             log::info!(
                 "event=results_unsure job={} after={after} why=\"{e}\"",
-                ask.job
+                request.job
             );
             refused("the results cannot be read now\n")
         }
@@ -150,12 +150,12 @@
 /// The store does not answer either.
 pub async fn read_page(
     context: &rc::Rc<context::ProcessContext>,
-    ask: &peers::ResultAsk,
+    request: &peers::ResultRequest,
 ) -> store::StoreResult<Option<wire::ResultPage>> {
-    if let Some(page) = read_from_owner(context, ask).await {
+    if let Some(page) = read_from_owner(context, request).await {
         return Ok(Some(page));
     }
-    job_board::read_results(context, ask).await
+    job_board::read_results(context, request).await
 }
 
 /// The process that has a job's results at hand: its owner, or a way to it.
@@ -167,7 +167,7 @@
     if owner == *context.id() {
         return None;
     }
-    if !context.hears(&owner) {
+    if !context.receives_from(&owner) {
         let relay = context.relays().into_iter().next()?;
         return Some((relay.id, relay.address));
     }
@@ -177,19 +177,19 @@
 
 async fn read_from_owner(
     context: &rc::Rc<context::ProcessContext>,
-    ask: &peers::ResultAsk,
+    request: &peers::ResultRequest,
 ) -> Option<wire::ResultPage> {
-    let (owner, address) = reader_of(context, &ask.job)?;
-    let timeout = ask.wait + OWNER_SPARE;
-    let answer = context
+    let (owner, address) = reader_of(context, &request.job)?;
+    let timeout = request.wait + OWNER_SPARE;
+    let response = context
         .links
-        .read_results(address, ask.clone(), timeout)
+        .read_results(address, request.clone(), timeout)
         .await;
-    answer
+    response
         .inspect_err(|e| {
             log::info!(
                 "event=owner_unread job={} owner={owner} why=\"{e}\"",
-                ask.job
+                request.job
             )
         })
         .ok()
@@ -198,7 +198,7 @@
 fn page_answer(
     context: &context::ProcessContext,
     page: &wire::ResultPage,
-) -> http_server::HttpAnswer {
+) -> http_server::HttpResponse {
     actix_http::Response::build(StatusCode::OK)
         .insert_header((header::CONTENT_TYPE, "application/json"))
         .body(context.wire.result_page(page))
@@ -209,7 +209,7 @@
     context: &rc::Rc<context::ProcessContext>,
     job: &ids::JobId,
     item: &str,
-) -> http_server::HttpAnswer {
+) -> http_server::HttpResponse {
     let sponsored = job_sponsor::record_of(job);
     let record = match sponsored {
         Some(record) => Ok(Some((*record).clone())),
@@ -237,7 +237,7 @@
 async fn end(
     context: &rc::Rc<context::ProcessContext>,
     job: &ids::JobId,
-) -> http_server::HttpAnswer {
+) -> http_server::HttpResponse {
     if let Err(e) = job_records::end(context.store.as_ref(), job).await {
         log::info!("event=end_unwritten job={job} why=\"{e}\"");
         if !job_acceptance::end_by_peer(context, job).await {
--- a/src/serving/peer_calls.rs
+++ b/src/serving/peer_calls.rs
@@ -6,7 +6,7 @@
 
 use super::{
     context, crash_guard, job_calls, job_checkpoints, job_records, job_runner, job_sponsor,
-    limit_links, peers, places, views,
+    limit_links, peers, slots, views,
 };
 use crate::{decisions::admission, ids, store};
 
@@ -35,30 +35,30 @@
             views::take_probe(context, &hello);
             reply(sender, context.hello());
         }
-        C::Acquire(ask, sender) => {
+        C::Acquire(request, sender) => {
             let is_owner = context.owners().iter().any(|o| o.id == *context.id());
             if is_owner {
-                return reply(sender, grant(context, &ask));
+                return reply(sender, grant(context, &request));
             }
             let context = context.clone();
             actix_rt::spawn(async move {
-                if let Some(answer) = places::ask_for_peer(&context, ask).await {
-                    reply(sender, answer);
+                if let Some(response) = slots::request_for_peer(&context, request).await {
+                    reply(sender, response);
                 }
             });
         }
         C::Release(ended) => release(context, ended),
         C::Report(report) => take_report(context, &report),
-        C::CrashNews(news) => {
-            crash_guard::take(context, news);
+        C::CrashUpdate(update) => {
+            crash_guard::take(context, update);
         }
         C::Crashes(sender) => reply(sender, context.crashes.copy(context.clock.now())),
-        C::StatePart(ask, sender) => {
+        C::StatePart(request, sender) => {
             let table = context.fleet.table();
             if !table.is_known() {
                 return;
             }
-            match context.state_transfer.shelf.part(ask, table.state()) {
+            match context.state_transfer.shelf.part(request, table.state()) {
                 Ok(part) => reply(sender, part),
                 Err(e) => log::warn!("event=state_untold why=\"{e}\""),
             }
@@ -78,18 +78,18 @@
         C::KeepProgress(part, sender) => {
             reply(sender, job_checkpoints::take_part(context, part));
         }
-        C::ReadResults(ask, sender) => {
+        C::ReadResults(request, sender) => {
             let context = context.clone();
             actix_rt::spawn(async move {
-                match job_calls::read_page(&context, &ask).await {
+                match job_calls::read_page(&context, &request).await {
                     Ok(Some(page)) => reply(sender, page),
-                    Ok(None) => log::info!("event=results_unknown job={}", ask.job),
-                    Err(e) => log::info!("event=results_unread job={} why=\"{e}\"", ask.job),
+                    Ok(None) => log::info!("event=results_unknown job={}", request.job),
+                    Err(e) => log::info!("event=results_unread job={} why=\"{e}\"", request.job),
                 }
             });
         }
         C::EndJob(job) => job_runner::end_job(context, &job),
-        C::Lend(ask, sender) => reply(sender, lend(context, &ask)),
+        C::Lend(request, sender) => reply(sender, lend(context, &request)),
         C::GiveBack(slot) => {
             let mut permits = context.permits.borrow_mut();
             permits.end_batch(&slot.endpoint, slot.number);
@@ -111,15 +111,15 @@
                 }
             });
         }
-        C::DrawTokens(ask, sender) => {
+        C::DrawTokens(request, sender) => {
             let is_owner = context.owners().iter().any(|o| o.id == *context.id());
             if is_owner {
-                return reply(sender, limit_links::grant(context, &ask));
+                return reply(sender, limit_links::grant(context, &request));
             }
             let context = context.clone();
             actix_rt::spawn(async move {
-                if let Some(answer) = limit_links::draw_for_peer(&context, ask).await {
-                    reply(sender, answer);
+                if let Some(response) = limit_links::draw_for_peer(&context, request).await {
+                    reply(sender, response);
                 }
             });
         }
@@ -148,52 +148,55 @@
 }
 
 /// Lends places of batch streams at owned endpoints.
-fn lend(context: &context::ProcessContext, ask: &peers::SlotAsk) -> Vec<peers::LentSlot> {
+fn lend(
+    context: &context::ProcessContext,
+    request: &peers::BatchSlotRequest,
+) -> Vec<peers::BorrowedSlot> {
     if context.is_leaving() {
         return Vec::new();
     }
     let now = context.clock.now();
     let mut permits = context.permits.borrow_mut();
     let shunned = permits.shunned(&context.loads.borrow(), now);
-    let lent = permits.lend_batch(ask, &shunned, now);
+    let lent = permits.lend_batch(request, &shunned, now);
     let lent = lent.into_iter();
-    let slots = lent.map(|(endpoint, number)| peers::LentSlot { endpoint, number });
+    let slots = lent.map(|(endpoint, number)| peers::BorrowedSlot { endpoint, number });
     slots.collect()
 }
 
 /// Gives a place at an owned endpoint, and takes batch streams back for it.
 pub fn grant(
     context: &rc::Rc<context::ProcessContext>,
-    ask: &peers::PlaceAsk,
-) -> peers::PlaceAnswer {
+    request: &peers::OnlineSlotRequest,
+) -> peers::OnlineSlotResponse {
     let now = context.clock.now();
     let mut permits = context.permits.borrow_mut();
     let shunned = permits.shunned(&context.loads.borrow(), now);
-    let granted = permits.acquire(ask, &shunned, now);
-    let owns = permits.owns(&ask.service);
-    let room = permits.online_room(&ask.service);
-    let queue_room = permits.queue_room(&ask.service, ask.wait);
-    let denial = granted.is_none().then(|| permits.denial(ask, now));
+    let granted = permits.acquire(request, &shunned, now);
+    let owns = permits.owns(&request.service);
+    let free_slots = permits.free_online_slots(&request.service);
+    let free_queue_slots = permits.free_queue_slots(&request.service, request.wait);
+    let denial = granted.is_none().then(|| permits.denial(request, now));
     drop(permits);
     if let Some(denial) = denial {
         log::info!(
             "event=place_denied service={} asker={} may_queue={} {denial}",
-            ask.service,
-            ask.holder,
-            ask.may_queue,
+            request.service,
+            request.holder,
+            request.may_queue,
         );
     }
-    let endpoint = granted.map(|place| {
-        for stream in &place.preempted {
-            preempt(context, &place.endpoint, *stream);
+    let endpoint = granted.map(|slot| {
+        for stream in &slot.preempted {
+            preempt(context, &slot.endpoint, *stream);
         }
-        place.endpoint
+        slot.endpoint
     });
-    peers::PlaceAnswer {
+    peers::OnlineSlotResponse {
         endpoint,
         owns,
-        room,
-        queue_room,
+        free_slots,
+        free_queue_slots,
     }
 }
 
@@ -212,13 +215,13 @@
     let address = context.members.borrow().address_of(&borrower);
     if let Some(address) = address {
         let endpoint = endpoint.clone();
-        let slot = peers::LentSlot { endpoint, number };
+        let slot = peers::BorrowedSlot { endpoint, number };
         context.links.preempt(address, slot);
     }
 }
 
 /// Takes a place back; batch work may use it.
-pub fn release(context: &context::ProcessContext, ended: peers::PlaceRelease) {
+pub fn release(context: &context::ProcessContext, ended: peers::SlotRelease) {
     let mut permits = context.permits.borrow_mut();
     let released = match ended.is_served {
         true => permits.release_served(ended.number, context.clock.now()),
@@ -227,8 +230,8 @@
     drop(permits);
     if let Some(endpoint) = released {
         if ended.is_served {
-            context.loads.borrow_mut().note_served(&endpoint);
-            context.fleet.note_named(&endpoint);
+            context.loads.borrow_mut().record_served(&endpoint);
+            context.fleet.record_named(&endpoint);
         }
         context.jobs.work.notify_one();
         return;
@@ -244,20 +247,20 @@
     let peers::EndpointReport {
         endpoint,
         started,
-        news,
+        observation,
     } = report;
     let directory = context.fleet.directory.borrow();
     let is_outdated = directory.has_other_start(endpoint, *started);
     drop(directory);
     if is_outdated {
-        log::info!("event=report_outdated endpoint={endpoint} news=\"{news:?}\"");
+        log::info!("event=report_outdated endpoint={endpoint} news=\"{observation:?}\"");
         return;
     }
     let now = context.clock.now();
-    match news {
-        peers::EndpointNews::Failed(failure) => {
+    match observation {
+        peers::EndpointObservation::Failed(failure) => {
             let mut loads = context.loads.borrow_mut();
-            if loads.note_peer_failure(endpoint, failure, now) {
+            if loads.record_peer_failure(endpoint, failure, now) {
                 log::info!(
                     "event=endpoint_shunned endpoint={endpoint} last_reporter={} silent={}",
                     failure.reporter,
@@ -265,7 +268,9 @@
                 );
             }
         }
-        peers::EndpointNews::Full => context.permits.borrow_mut().note_refused(endpoint, now),
-        peers::EndpointNews::Misnamed => context.fleet.note_misnamed(endpoint, *started),
+        peers::EndpointObservation::Full => {
+            context.permits.borrow_mut().record_refused(endpoint, now)
+        }
+        peers::EndpointObservation::Misnamed => context.fleet.record_misnamed(endpoint, *started),
     }
 }
--- a/src/serving/peer_links.rs
+++ b/src/serving/peer_links.rs
@@ -8,10 +8,10 @@
 use super::{
     directory, job_records, members,
     peers::{
-        EndpointReport, LentSlot, PeerHello, PeerServiceClient, PlaceAnswer, PlaceAsk,
-        PlaceRelease, ResultAsk, SlotAsk, WriteOutcome,
+        BatchSlotRequest, BorrowedSlot, EndpointReport, OnlineSlotRequest, OnlineSlotResponse,
+        PeerHello, PeerServiceClient, ResultRequest, SlotRelease, WriteOutcome,
     },
-    permits, progress_transfer, state_copy, wire,
+    permits, progress_transfer, state_snapshot, wire,
     workspaces::limit_messages,
 };
 use crate::{clock, decisions::crash_ledger, ids};
@@ -107,8 +107,8 @@
     context
 }
 
-fn outcome<T>(answer: Result<Option<T>, tarpc::client::RpcError>) -> Result<T, PeerError> {
-    match answer {
+fn outcome<T>(response: Result<Option<T>, tarpc::client::RpcError>) -> Result<T, PeerError> {
+    match response {
         Ok(Some(value)) => Ok(value),
         Err(tarpc::client::RpcError::DeadlineExceeded) => Err(PeerError::TimedOut),
         Ok(None) | Err(_) => Err(PeerError::Unreachable),
@@ -130,8 +130,8 @@
             return;
         };
         actix_rt::spawn(async move {
-            let told = client.$method(within(members::PEER_SILENCE), $argument);
-            if let Err(e) = told.await {
+            let sent = client.$method(within(members::PEER_SILENCE), $argument);
+            if let Err(e) = sent.await {
                 log::debug!(
                     "event=message_lost kind={} why=\"{e}\"",
                     stringify!($method)
@@ -153,8 +153,8 @@
             loop {
                 links.settle($peer).await;
                 if let Some(client) = links.connected($peer) {
-                    let told = client.$method(within(members::PEER_SILENCE), $argument.clone());
-                    match told.await {
+                    let sent = client.$method(within(members::PEER_SILENCE), $argument.clone());
+                    match sent.await {
                         Ok(()) => return,
                         Err(e) => log::debug!(
                             "event=message_lost kind={} why=\"{e}\"",
@@ -192,10 +192,10 @@
     pub async fn draw_tokens(
         &self,
         peer: net::SocketAddr,
-        ask: limit_messages::GrantAsk,
+        request: limit_messages::TokenRequest,
         timeout: time::Duration,
-    ) -> Result<limit_messages::GrantAnswer, PeerError> {
-        call_peer!(self, peer, timeout, draw_tokens(ask))
+    ) -> Result<limit_messages::TokenResponse, PeerError> {
+        call_peer!(self, peer, timeout, draw_tokens(request))
     }
 
     /// Asks an owner for a place.
@@ -205,15 +205,15 @@
     pub async fn acquire(
         &self,
         peer: net::SocketAddr,
-        ask: PlaceAsk,
+        request: OnlineSlotRequest,
         timeout: time::Duration,
-    ) -> Result<PlaceAnswer, PeerError> {
-        call_peer!(self, peer, timeout, acquire(ask))
+    ) -> Result<OnlineSlotResponse, PeerError> {
+        call_peer!(self, peer, timeout, acquire(request))
     }
 
     /// Gives a place back, also where its owner is out of reach for a while: the place is
     /// held until it hears of it, or until the permit expires.
-    pub fn release(&self, peer: net::SocketAddr, release: PlaceRelease) {
+    pub fn release(&self, peer: net::SocketAddr, release: SlotRelease) {
         tell_until_heard!(self, peer, release(release));
     }
 
@@ -223,8 +223,8 @@
     }
 
     /// Tells an owner of a request under which an endpoint ended, or that was served since.
-    pub fn crash_news(&self, peer: net::SocketAddr, news: crash_ledger::CrashNews) {
-        tell_peer!(self, peer, crash_news(news));
+    pub fn crash_news(&self, peer: net::SocketAddr, update: crash_ledger::CrashUpdate) {
+        tell_peer!(self, peer, crash_news(update));
     }
 
     /// Asks for all that a peer knows of such requests: up to 200 KB, which is waited for
@@ -236,10 +236,10 @@
         &self,
         peer: net::SocketAddr,
         silence: time::Duration,
-    ) -> Result<Vec<crash_ledger::CrashNews>, PeerError> {
+    ) -> Result<Vec<crash_ledger::CrashUpdate>, PeerError> {
         let asking = async { call_peer!(self, peer, LIST_TIMEOUT, crashes()) };
         tokio::select! {
-            answer = asking => answer,
+            response = asking => response,
             () = self.silence(peer, silence) => Err(PeerError::TimedOut),
         }
     }
@@ -251,10 +251,10 @@
     pub async fn state_part(
         &self,
         peer: net::SocketAddr,
-        ask: state_copy::StatePartAsk,
+        request: state_snapshot::StatePartRequest,
         timeout: time::Duration,
-    ) -> Result<state_copy::StatePart, PeerError> {
-        call_peer!(self, peer, timeout, state_part(ask))
+    ) -> Result<state_snapshot::StatePart, PeerError> {
+        call_peer!(self, peer, timeout, state_part(request))
     }
 
     /// Asks for the list of endpoints, and waits as long as something comes on the
@@ -266,10 +266,10 @@
         &self,
         peer: net::SocketAddr,
         silence: time::Duration,
-    ) -> Result<directory::DirectoryCopy, PeerError> {
+    ) -> Result<directory::DirectorySnapshot, PeerError> {
         let asking = async { call_peer!(self, peer, LIST_TIMEOUT, endpoints()) };
         tokio::select! {
-            answer = asking => answer,
+            response = asking => response,
             () = self.silence(peer, silence) => Err(PeerError::TimedOut),
         }
     }
@@ -333,10 +333,10 @@
     pub async fn read_results(
         &self,
         peer: net::SocketAddr,
-        ask: ResultAsk,
+        request: ResultRequest,
         timeout: time::Duration,
     ) -> Result<wire::ResultPage, PeerError> {
-        call_peer!(self, peer, timeout, read_results(ask))
+        call_peer!(self, peer, timeout, read_results(request))
     }
 
     /// Tells that a job was ended; the mark in the store says the same.
@@ -351,14 +351,14 @@
     pub async fn lend(
         &self,
         peer: net::SocketAddr,
-        ask: SlotAsk,
+        request: BatchSlotRequest,
         timeout: time::Duration,
-    ) -> Result<Vec<LentSlot>, PeerError> {
-        call_peer!(self, peer, timeout, lend(ask))
+    ) -> Result<Vec<BorrowedSlot>, PeerError> {
+        call_peer!(self, peer, timeout, lend(request))
     }
 
     /// Gives a place of a batch stream back, also where its owner is out of reach for a while.
-    pub fn give_back(&self, peer: net::SocketAddr, slot: LentSlot) {
+    pub fn give_back(&self, peer: net::SocketAddr, slot: BorrowedSlot) {
         tell_until_heard!(self, peer, give_back(slot));
     }
 
@@ -368,7 +368,7 @@
     }
 
     /// Takes a place of a batch stream back.
-    pub fn preempt(&self, peer: net::SocketAddr, slot: LentSlot) {
+    pub fn preempt(&self, peer: net::SocketAddr, slot: BorrowedSlot) {
         tell_peer!(self, peer, preempt(slot));
     }
 
@@ -466,7 +466,7 @@
     }
 
     /// Notes what became of a link, unless another has taken its place.
-    fn note(&self, peer: net::SocketAddr, generation: LinkGeneration, state: LinkState) {
+    fn record(&self, peer: net::SocketAddr, generation: LinkGeneration, state: LinkState) {
         let mut table = self.table.borrow_mut();
         let known = table.get(&peer).and_then(LinkState::generation);
         if known != Some(generation) {
@@ -515,7 +515,7 @@
         Ok(socket) => socket,
         Err(e) => {
             log::debug!("event=peer_unreached peer={peer} why=\"{e}\"");
-            return links.note(peer, generation, LinkState::failed());
+            return links.record(peer, generation, LinkState::failed());
         }
     };
     let heard_at = rc::Rc::new(cell::Cell::new(clock::BootInstant::now()));
@@ -531,11 +531,11 @@
         heard_at,
         _closing: closing,
     };
-    links.note(peer, generation, LinkState::Connected(link));
+    links.record(peer, generation, LinkState::Connected(link));
     tokio::select! {
         ended = new.dispatch => {
             log::info!("event=peer_link_lost peer={peer} why=\"{ended:?}\"");
-            links.note(peer, generation, LinkState::failed());
+            links.record(peer, generation, LinkState::failed());
         }
         // Given up; dropping the dispatch closes the socket.
         _ = closed => {}
--- a/src/serving/peer_server.rs
+++ b/src/serving/peer_server.rs
@@ -10,10 +10,10 @@
     directory, job_records, members,
     peer_links::{frames, RECONNECT_PAUSE},
     peers::{
-        EndpointReport, LentSlot, PeerCall, PeerHello, PeerService, PlaceAnswer, PlaceAsk,
-        PlaceRelease, ResultAsk, SlotAsk, WriteOutcome,
+        BatchSlotRequest, BorrowedSlot, EndpointReport, OnlineSlotRequest, OnlineSlotResponse,
+        PeerCall, PeerHello, PeerService, ResultRequest, SlotRelease, WriteOutcome,
     },
-    progress_transfer, state_copy, wire,
+    progress_transfer, state_snapshot, wire,
     workspaces::limit_messages,
 };
 use crate::{decisions::crash_ledger, ids};
@@ -29,10 +29,13 @@
 
 impl PeerServer {
     /// Hands a call over and waits for its answer; nothing if the process ends.
-    async fn ask<T>(&self, call: impl FnOnce(oneshot::Sender<T>) -> PeerCall) -> Option<T> {
-        let (reply, answer) = oneshot::channel();
+    async fn send_request<T>(
+        &self,
+        call: impl FnOnce(oneshot::Sender<T>) -> PeerCall,
+    ) -> Option<T> {
+        let (reply, response) = oneshot::channel();
         self.ring.send(call(reply)).await.ok()?;
-        answer.await.ok()
+        response.await.ok()
     }
 
     /// Hands a message over that has no answer.
@@ -45,14 +48,20 @@
 
 impl PeerService for PeerServer {
     async fn probe(self, _: tarpc::context::Context, hello: PeerHello) -> Option<PeerHello> {
-        self.ask(|reply| PeerCall::Probe(hello, reply)).await
+        self.send_request(|reply| PeerCall::Probe(hello, reply))
+            .await
     }
 
-    async fn acquire(self, _: tarpc::context::Context, ask: PlaceAsk) -> Option<PlaceAnswer> {
-        self.ask(|reply| PeerCall::Acquire(ask, reply)).await
+    async fn acquire(
+        self,
+        _: tarpc::context::Context,
+        request: OnlineSlotRequest,
+    ) -> Option<OnlineSlotResponse> {
+        self.send_request(|reply| PeerCall::Acquire(request, reply))
+            .await
     }
 
-    async fn release(self, _: tarpc::context::Context, release: PlaceRelease) {
+    async fn release(self, _: tarpc::context::Context, release: SlotRelease) {
         self.tell(PeerCall::Release(release)).await;
     }
 
@@ -63,25 +72,26 @@
     async fn state_part(
         self,
         _: tarpc::context::Context,
-        ask: state_copy::StatePartAsk,
-    ) -> Option<state_copy::StatePart> {
-        self.ask(|reply| PeerCall::StatePart(ask, reply)).await
+        request: state_snapshot::StatePartRequest,
+    ) -> Option<state_snapshot::StatePart> {
+        self.send_request(|reply| PeerCall::StatePart(request, reply))
+            .await
     }
 
-    async fn crash_news(self, _: tarpc::context::Context, news: crash_ledger::CrashNews) {
-        self.tell(PeerCall::CrashNews(news)).await;
+    async fn crash_news(self, _: tarpc::context::Context, update: crash_ledger::CrashUpdate) {
+        self.tell(PeerCall::CrashUpdate(update)).await;
     }
 
-    async fn crashes(self, _: tarpc::context::Context) -> Option<Vec<crash_ledger::CrashNews>> {
-        self.ask(PeerCall::Crashes).await
+    async fn crashes(self, _: tarpc::context::Context) -> Option<Vec<crash_ledger::CrashUpdate>> {
+        self.send_request(PeerCall::Crashes).await
     }
 
-    async fn endpoints(self, _: tarpc::context::Context) -> Option<directory::DirectoryCopy> {
-        self.ask(PeerCall::Endpoints).await
+    async fn endpoints(self, _: tarpc::context::Context) -> Option<directory::DirectorySnapshot> {
+        self.send_request(PeerCall::Endpoints).await
     }
 
     async fn members(self, _: tarpc::context::Context) -> Option<Vec<members::MemberRecord>> {
-        self.ask(PeerCall::Members).await
+        self.send_request(PeerCall::Members).await
     }
 
     async fn take_job(
@@ -89,11 +99,13 @@
         _: tarpc::context::Context,
         record: job_records::JobRecord,
     ) -> Option<bool> {
-        self.ask(|reply| PeerCall::TakeJob(record, reply)).await
+        self.send_request(|reply| PeerCall::TakeJob(record, reply))
+            .await
     }
 
     async fn find_job(self, _: tarpc::context::Context, job: ids::JobId) -> Option<bool> {
-        self.ask(|reply| PeerCall::FindJob(job, reply)).await
+        self.send_request(|reply| PeerCall::FindJob(job, reply))
+            .await
     }
 
     async fn keep_progress(
@@ -101,26 +113,33 @@
         _: tarpc::context::Context,
         part: progress_transfer::ProgressPart,
     ) -> Option<bool> {
-        self.ask(|reply| PeerCall::KeepProgress(part, reply)).await
+        self.send_request(|reply| PeerCall::KeepProgress(part, reply))
+            .await
     }
 
     async fn read_results(
         self,
         _: tarpc::context::Context,
-        ask: ResultAsk,
+        request: ResultRequest,
     ) -> Option<wire::ResultPage> {
-        self.ask(|reply| PeerCall::ReadResults(ask, reply)).await
+        self.send_request(|reply| PeerCall::ReadResults(request, reply))
+            .await
     }
 
     async fn end_job(self, _: tarpc::context::Context, job: ids::JobId) {
         self.tell(PeerCall::EndJob(job)).await;
     }
 
-    async fn lend(self, _: tarpc::context::Context, ask: SlotAsk) -> Option<Vec<LentSlot>> {
-        self.ask(|reply| PeerCall::Lend(ask, reply)).await
+    async fn lend(
+        self,
+        _: tarpc::context::Context,
+        request: BatchSlotRequest,
+    ) -> Option<Vec<BorrowedSlot>> {
+        self.send_request(|reply| PeerCall::Lend(request, reply))
+            .await
     }
 
-    async fn give_back(self, _: tarpc::context::Context, slot: LentSlot) {
+    async fn give_back(self, _: tarpc::context::Context, slot: BorrowedSlot) {
         self.tell(PeerCall::GiveBack(slot)).await;
     }
 
@@ -128,7 +147,7 @@
         self.tell(PeerCall::CancelLent(number)).await;
     }
 
-    async fn preempt(self, _: tarpc::context::Context, slot: LentSlot) {
+    async fn preempt(self, _: tarpc::context::Context, slot: BorrowedSlot) {
         self.tell(PeerCall::Preempt(slot)).await;
     }
 
@@ -137,19 +156,22 @@
         _: tarpc::context::Context,
         record: job_records::JobRecord,
     ) -> Option<WriteOutcome> {
-        self.ask(|reply| PeerCall::WriteJob(record, reply)).await
+        self.send_request(|reply| PeerCall::WriteJob(record, reply))
+            .await
     }
 
     async fn draw_tokens(
         self,
         _: tarpc::context::Context,
-        ask: limit_messages::GrantAsk,
-    ) -> Option<limit_messages::GrantAnswer> {
-        self.ask(|reply| PeerCall::DrawTokens(ask, reply)).await
+        request: limit_messages::TokenRequest,
+    ) -> Option<limit_messages::TokenResponse> {
+        self.send_request(|reply| PeerCall::DrawTokens(request, reply))
+            .await
     }
 
     async fn write_end(self, _: tarpc::context::Context, job: ids::JobId) -> Option<WriteOutcome> {
-        self.ask(|reply| PeerCall::WriteEnd(job, reply)).await
+        self.send_request(|reply| PeerCall::WriteEnd(job, reply))
+            .await
     }
 }
 
@@ -187,8 +209,8 @@
     let transport = tarpc::serde_transport::new(frames().new_framed(socket), codec);
     tarpc::server::BaseChannel::with_defaults(transport)
         .execute(server.serve())
-        .for_each(|answer| async {
-            actix_rt::spawn(answer);
+        .for_each(|response| async {
+            actix_rt::spawn(response);
         })
         .await;
 }
--- a/src/serving/permits.rs
+++ b/src/serving/permits.rs
@@ -6,7 +6,7 @@
 use super::{directory, peers, selection};
 use crate::{
     clock,
-    decisions::{admission, backoff_marks, queue_limit},
+    decisions::{admission, endpoint_backoff, queue_limit},
     ids,
 };
 
@@ -29,7 +29,7 @@
 /// Requests last about half a second, so that of eight slots one is free again each
 /// 60 ms. The work of an owner that was lost is gone after a few seconds, and an
 /// endpoint that has room must not stand idle for longer than a request lasts.
-const REFUSAL_PAUSES: backoff_marks::BackoffRange = backoff_marks::BackoffRange {
+const REFUSAL_PAUSES: endpoint_backoff::BackoffRange = endpoint_backoff::BackoffRange {
     first: time::Duration::from_millis(60),
     last: time::Duration::from_millis(960),
     spread: 0.3,
@@ -37,7 +37,7 @@
 
 /// A place for an online request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct GrantedPlace {
+pub struct GrantedSlot {
     /// The endpoint.
     pub endpoint: ids::EndpointId,
     /// Batch streams there that have to go for it.
@@ -46,7 +46,7 @@
 
 /// Why a service has no place for a request: what stands in the way at its endpoints.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct PlaceDenial {
+pub struct SlotDenial {
     /// Owned endpoints of the service.
     pub endpoints: usize,
     /// Those that the asker does not want.
@@ -61,7 +61,7 @@
     pub oldest: time::Duration,
 }
 
-impl fmt::Display for PlaceDenial {
+impl fmt::Display for SlotDenial {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
@@ -81,9 +81,9 @@
 struct PermitHolder {
     endpoint: ids::EndpointId,
     holder: ids::InstanceRun,
-    expiry: clock::Moment,
+    expiry: clock::MonotonicTime,
     /// When it was given, if a slot was free then.
-    begun: Option<clock::Moment>,
+    begun: Option<clock::MonotonicTime>,
 }
 
 /// Who has a slot for a batch stream of another instance.
@@ -91,7 +91,7 @@
 struct SlotBorrower {
     holder: ids::InstanceRun,
     /// Number of the question that it was lent to.
-    ask: u64,
+    request: u64,
 }
 
 /// The ledgers of the owned endpoints.
@@ -104,14 +104,14 @@
     /// Batch streams that other instances run here.
     lent: collections::HashMap<(ids::EndpointId, admission::StreamNumber), SlotBorrower>,
     /// How long online requests of a service hold a slot.
-    holds: collections::HashMap<ids::ServiceName, queue_limit::HoldEstimate>,
+    holds: collections::HashMap<ids::ServiceName, queue_limit::HoldTimeEstimate>,
     /// Permits, and questions for slots, that were given back and not known.
     ///
     /// An owner that stood still may read what came on a newer link first: the word that
     /// nobody waits for a place any more, and then the request for it.
     returned: lru::LruCache<admission::PermitNumber, ()>,
     /// Endpoints that refused lately.
-    refusals: backoff_marks::BackoffMarks,
+    refusals: endpoint_backoff::EndpointBackoff,
     /// Endpoints that give one place at a time, until they are known to be there.
     doubtful: collections::HashSet<ids::EndpointId>,
 }
@@ -133,13 +133,13 @@
     }
 
     /// Places that an online request could have now, those of batch streams included.
-    fn online_room(&self) -> u32 {
+    fn free_online_slots(&self) -> u32 {
         self.entry.slots.saturating_sub(self.ledger.online())
     }
 
     /// Places in the endpoint's queue that an online request could have now,
     /// if so many may wait.
-    fn queue_room(&self, queue: u32) -> u32 {
+    fn free_queue_slots(&self, queue: u32) -> u32 {
         let most = self.entry.slots + queue;
         most.saturating_sub(self.ledger.online().max(self.entry.slots))
     }
@@ -176,7 +176,7 @@
             lent: collections::HashMap::new(),
             holds: collections::HashMap::new(),
             returned: lru::LruCache::new(MAX_RETURNED),
-            refusals: backoff_marks::BackoffMarks::new(REFUSAL_PAUSES),
+            refusals: endpoint_backoff::EndpointBackoff::new(REFUSAL_PAUSES),
             doubtful: collections::HashSet::new(),
         }
     }
@@ -223,16 +223,16 @@
     /// with the fewest online requests gives one up.
     pub fn acquire(
         &mut self,
-        ask: &peers::PlaceAsk,
+        request: &peers::OnlineSlotRequest,
         shunned: &collections::HashSet<ids::EndpointId>,
-        now: clock::Moment,
-    ) -> Option<GrantedPlace> {
-        if self.take_returned(ask.number) {
+        now: clock::MonotonicTime,
+    ) -> Option<GrantedSlot> {
+        if self.take_returned(request.number) {
             return None;
         }
         let usable = self
-            .of_service(&ask.service)
-            .filter(|owned| !ask.tried.contains(&owned.entry.id));
+            .of_service(&request.service)
+            .filter(|owned| !request.tried.contains(&owned.entry.id));
         let best = usable.min_by_key(|owned| {
             let full = owned.free() <= 0;
             let load = match full {
@@ -243,49 +243,56 @@
                 shunned.contains(&owned.entry.id),
                 full,
                 load,
-                owned.entry.domain != ask.domain,
+                owned.entry.domain != request.domain,
                 owned.entry.id.clone(),
             )
         })?;
-        let is_free = best.online_room() > 0;
-        let may_wait = ask.may_queue && best.queue_room(self.queue_of(best, ask.wait)) > 0;
+        let is_free = best.free_online_slots() > 0;
+        let may_wait =
+            request.may_queue && best.free_queue_slots(self.queue_of(best, request.wait)) > 0;
         if !is_free && !may_wait {
             return None;
         }
         let endpoint = best.entry.id.clone();
         let owned = self.ledgers.get_mut(&endpoint)?;
-        let grant = owned.ledger.request_permit(ask.number, now)?;
+        let grant = owned.ledger.request_permit(request.number, now)?;
         let holder = PermitHolder {
             endpoint: endpoint.clone(),
-            holder: ask.holder.clone(),
+            holder: request.holder.clone(),
             expiry: now + PERMIT_TTL,
             begun: is_free.then_some(now),
         };
-        self.holders.insert(ask.number, holder);
-        Some(GrantedPlace {
+        self.holders.insert(request.number, holder);
+        Some(GrantedSlot {
             endpoint,
             preempted: grant.preempt,
         })
     }
 
     /// What stands in the way of a request that got no place.
-    pub fn denial(&self, ask: &peers::PlaceAsk, now: clock::Moment) -> PlaceDenial {
+    pub fn denial(
+        &self,
+        request: &peers::OnlineSlotRequest,
+        now: clock::MonotonicTime,
+    ) -> SlotDenial {
         let ledgers = self.ledgers.values();
-        let owned: Vec<_> = ledgers.filter(|o| o.entry.service == ask.service).collect();
-        let is_unwanted = |owned: &&&OwnedLedger| ask.tried.contains(&owned.entry.id);
+        let owned: Vec<_> = ledgers
+            .filter(|o| o.entry.service == request.service)
+            .collect();
+        let is_unwanted = |owned: &&&OwnedLedger| request.tried.contains(&owned.entry.id);
         let is_here = |h: &&PermitHolder| {
             let ledger = self.ledgers.get(&h.endpoint);
-            ledger.is_some_and(|o| o.entry.service == ask.service)
+            ledger.is_some_and(|o| o.entry.service == request.service)
         };
         let held: Vec<_> = self.holders.values().filter(is_here).collect();
         let holders: collections::HashSet<_> = held.iter().map(|h| &h.holder).collect();
         let ages = held
             .iter()
             .map(|h| PERMIT_TTL.saturating_sub(h.expiry.since(now)));
-        PlaceDenial {
+        SlotDenial {
             endpoints: owned.len(),
             unwanted: owned.iter().filter(is_unwanted).count(),
-            closed: owned.len() - self.of_service(&ask.service).count(),
+            closed: owned.len() - self.of_service(&request.service).count(),
             online: owned.iter().map(|o| o.ledger.online()).sum(),
             holders: holders.len(),
             oldest: ages.max().unwrap_or_default(),
@@ -303,13 +310,13 @@
     pub fn release_served(
         &mut self,
         number: admission::PermitNumber,
-        now: clock::Moment,
+        now: clock::MonotonicTime,
     ) -> Option<ids::EndpointId> {
         let begun = self.holders.get(&number)?.begun;
         let endpoint = self.release(number)?;
         if let (Some(begun), Some(owned)) = (begun, self.ledgers.get(&endpoint)) {
             let hold = self.holds.entry(owned.entry.service.clone()).or_default();
-            hold.note(now.since(begun));
+            hold.record(now.since(begun));
         }
         self.refusals.forget(&endpoint);
         Some(endpoint)
@@ -362,7 +369,7 @@
     pub fn shunned(
         &self,
         loads: &selection::LoadBoard,
-        now: clock::Moment,
+        now: clock::MonotonicTime,
     ) -> collections::HashSet<ids::EndpointId> {
         loads.shunned(self.ledgers.len(), |id| self.ledgers.contains_key(id), now)
     }
@@ -370,22 +377,22 @@
     /// Batch streams that a peer may begin, up to the number that it asks for.
     pub fn lend_batch(
         &mut self,
-        ask: &peers::SlotAsk,
+        request: &peers::BatchSlotRequest,
         shunned: &collections::HashSet<ids::EndpointId>,
-        now: clock::Moment,
+        now: clock::MonotonicTime,
     ) -> Vec<(ids::EndpointId, admission::StreamNumber)> {
         let mut lent = Vec::new();
-        if self.take_returned(ask.number) {
+        if self.take_returned(request.number) {
             return lent;
         }
-        while lent.len() < ask.count {
-            let Some((entry, number)) = self.begin_batch(&ask.service, shunned, now) else {
+        while lent.len() < request.count {
+            let Some((entry, number)) = self.begin_batch(&request.service, shunned, now) else {
                 break;
             };
             let key = (entry.id.clone(), number);
             let borrower = SlotBorrower {
-                holder: ask.holder.clone(),
-                ask: ask.number,
+                holder: request.holder.clone(),
+                request: request.number,
             };
             self.lent.insert(key.clone(), borrower);
             lent.push(key);
@@ -395,11 +402,11 @@
 
     /// Ends the batch streams that were lent to a question whose answer did not come. The
     /// word of it may overtake the question.
-    pub fn cancel_lent(&mut self, ask: u64) {
-        let lent = self.lent.iter().filter(|(_, b)| b.ask == ask);
+    pub fn cancel_lent(&mut self, request: u64) {
+        let lent = self.lent.iter().filter(|(_, b)| b.request == request);
         let lent: Vec<_> = lent.map(|(key, _)| key.clone()).collect();
         if lent.is_empty() {
-            self.returned.put(ask, ());
+            self.returned.put(request, ());
         }
         for (endpoint, number) in lent {
             self.end_batch(&endpoint, number);
@@ -408,20 +415,20 @@
 
     /// Notes that an owned endpoint refused a request that had a place there: it has
     /// less room than its ledger says, and gives no places for a while.
-    pub fn note_refused(&mut self, endpoint: &ids::EndpointId, now: clock::Moment) {
+    pub fn record_refused(&mut self, endpoint: &ids::EndpointId, now: clock::MonotonicTime) {
         if self.ledgers.contains_key(endpoint) {
-            self.refusals.note(endpoint, now, &mut rand::rng());
+            self.refusals.record(endpoint, now, &mut rand::rng());
         }
     }
 
     /// Notes that an endpoint served one who had a place there.
-    pub fn note_served(&mut self, endpoint: &ids::EndpointId) {
+    pub fn record_served(&mut self, endpoint: &ids::EndpointId) {
         self.refusals.forget(endpoint);
     }
 
     /// Lets owned endpoints give places again that refused a while ago; says whether
     /// there were any.
-    pub fn reopen(&mut self, now: clock::Moment) -> bool {
+    pub fn reopen(&mut self, now: clock::MonotonicTime) -> bool {
         self.refusals.expire(now)
     }
 
@@ -434,7 +441,10 @@
     /// them back, which is a fault of their holders or of the links to them.
     ///
     /// A ledger drops its own when it gives a place; one that is full gives none.
-    pub fn expire(&mut self, now: clock::Moment) -> Vec<(ids::EndpointId, ids::InstanceRun)> {
+    pub fn expire(
+        &mut self,
+        now: clock::MonotonicTime,
+    ) -> Vec<(ids::EndpointId, ids::InstanceRun)> {
         let expired = self.holders.iter().filter(|(_, h)| h.expiry <= now);
         let expired: Vec<_> = expired.map(|(number, h)| (*number, h.clone())).collect();
         let ended = expired.into_iter().map(|(number, held)| {
@@ -455,16 +465,18 @@
     }
 
     /// Places that online requests of a service could have now.
-    pub fn online_room(&self, service: &ids::ServiceName) -> u32 {
-        self.of_service(service).map(OwnedLedger::online_room).sum()
+    pub fn free_online_slots(&self, service: &ids::ServiceName) -> u32 {
+        self.of_service(service)
+            .map(OwnedLedger::free_online_slots)
+            .sum()
     }
 
     /// Places in queues that online requests of a service could have now, each
     /// of which can wait for so long.
-    pub fn queue_room(&self, service: &ids::ServiceName, wait: time::Duration) -> u32 {
+    pub fn free_queue_slots(&self, service: &ids::ServiceName, wait: time::Duration) -> u32 {
         let owned = self.of_service(service);
-        let rooms = owned.map(|owned| owned.queue_room(self.queue_of(owned, wait)));
-        rooms.sum()
+        let free_slots = owned.map(|owned| owned.free_queue_slots(self.queue_of(owned, wait)));
+        free_slots.sum()
     }
 
     /// The owned endpoints of a service that may give places.
@@ -476,20 +488,20 @@
         owned.filter(move |owned| {
             let id = &owned.entry.id;
             let is_waited_for = self.doubtful.contains(id) && owned.is_held();
-            owned.entry.service == *service && !self.refusals.is_out(id) && !is_waited_for
+            owned.entry.service == *service && !self.refusals.is_backed_off(id) && !is_waited_for
         })
     }
 
     /// The room of each service with owned endpoints.
-    pub fn rooms(&self) -> Vec<(ids::ServiceName, u32)> {
+    pub fn free_slots(&self) -> Vec<(ids::ServiceName, u32)> {
         let mut services: Vec<_> = self.owned().map(|entry| entry.service.clone()).collect();
         services.sort();
         services.dedup();
-        let rooms = services.into_iter().map(|service| {
-            let room = self.online_room(&service);
-            (service, room)
+        let free_slots = services.into_iter().map(|service| {
+            let free_slots = self.free_online_slots(&service);
+            (service, free_slots)
         });
-        rooms.collect()
+        free_slots.collect()
     }
 
     /// Begins a batch stream at the owned endpoint of `service` with the most free places.
@@ -497,18 +509,18 @@
         &mut self,
         service: &ids::ServiceName,
         shunned: &collections::HashSet<ids::EndpointId>,
-        now: clock::Moment,
+        now: clock::MonotonicTime,
     ) -> Option<(rc::Rc<directory::EndpointEntry>, admission::StreamNumber)> {
         let (refusals, doubtful) = (&self.refusals, &self.doubtful);
         let usable = self.ledgers.values_mut().filter(|owned| {
             let id = &owned.entry.id;
             let is_waited_for = doubtful.contains(id) && owned.is_held();
-            let is_open = !refusals.is_out(id) && !is_waited_for;
+            let is_open = !refusals.is_backed_off(id) && !is_waited_for;
             owned.entry.service == *service && !shunned.contains(id) && is_open
         });
         let roomy = usable.filter_map(|owned| {
-            let room = owned.ledger.batch_room(now);
-            (room > 0).then_some(owned)
+            let free_slots = owned.ledger.free_batch_slots(now);
+            (free_slots > 0).then_some(owned)
         });
         let best = roomy.max_by_key(|owned| (owned.free(), owned.entry.id.clone()))?;
         let number = best.ledger.begin_stream(now);
--- a/src/serving/relay.rs
+++ b/src/serving/relay.rs
@@ -5,8 +5,8 @@
 use actix_http::{header, StatusCode};
 
 use super::{
-    answer_copy, attempt, attempt_flow, context, crash_guard, event_flow, places,
-    request_admission, route_table, suspension, wire,
+    answer_copy, attempt, attempt_flow, context, crash_guard, event_flow, request_admission,
+    route_table, slots, suspension, wire,
 };
 use crate::{clock, decisions::crash_ledger::CrashVerdict, http_server, ids};
 
@@ -86,7 +86,7 @@
     context: rc::Rc<context::ProcessContext>,
     request: CallerRequest,
     active: ActiveRequest,
-) -> http_server::HttpAnswer {
+) -> http_server::HttpResponse {
     let last_event = request.terms.resume_after;
     let mut relay = RequestRelay {
         context,
@@ -106,12 +106,12 @@
     }
     let outcome = match relay.request.route.kind.is_stream() {
         true => relay.open_stream(None).await,
-        false => relay.whole_answer().await,
+        false => relay.full_response().await,
     };
     match outcome {
-        Ok(Served::Whole(answer)) => {
-            relay.note_end(ANSWERED, answer.status().as_u16());
-            answer
+        Ok(Served::Whole(response)) => {
+            relay.record_end(ANSWERED, response.status().as_u16());
+            response
         }
         Ok(Served::Stream(head, stream)) => relay.into_stream(head, stream),
         Err(e) => relay.refuse(&e),
@@ -120,7 +120,7 @@
 
 /// What a request came to.
 pub(super) enum Served {
-    Whole(http_server::HttpAnswer),
+    Whole(http_server::HttpResponse),
     Stream(actix_http::ResponseHead, Box<event_flow::OpenStream>),
 }
 
@@ -154,7 +154,7 @@
     /// the endpoint by then.
     pub(super) async fn suspecting<T>(
         &self,
-        place: &places::HeldPlace,
+        slot: &slots::HeldSlot,
         waiting: impl std::future::Future<Output = T>,
     ) -> T {
         tokio::pin!(waiting);
@@ -165,15 +165,15 @@
         log::info!(
             "event=endpoint_suspected request={} endpoint={} silent_ms={}",
             self.request.terms.id.as_deref().unwrap_or("-"),
-            place.endpoint.id,
+            slot.endpoint.id,
             objective.as_millis()
         );
-        place.note_failed(false);
+        slot.record_failed(false);
         waiting.await
     }
 
     /// A whole answer, held back until it is complete.
-    async fn whole_answer(&mut self) -> Result<Served, FinalError> {
+    async fn full_response(&mut self) -> Result<Served, FinalError> {
         loop {
             let mut answered = self.next_answer(None).await?;
             let reading = answer_copy::read_whole(&mut answered.open.incoming);
@@ -184,13 +184,13 @@
             };
             match read {
                 Ok(body) => {
-                    let answer = self.whole(&answered.open.incoming.head, body);
+                    let response = self.whole(&answered.open.incoming.head, body);
                     self.give_back(answered);
-                    return Ok(Served::Whole(answer));
+                    return Ok(Served::Whole(response));
                 }
                 Err(e) => {
-                    self.note_broken(&answered.place, "cut", &e.to_string());
-                    answered.place.note_failed(false);
+                    self.record_broken(&answered.slot, "cut", &e.to_string());
+                    answered.slot.record_failed(false);
                     drop(answered);
                     match self.after_unknown(e.to_string()) {
                         attempt_flow::NextStep::GiveUp(e) => return Err(e),
@@ -205,23 +205,23 @@
         &self,
         head: &actix_http::ResponseHead,
         body: bytes::Bytes,
-    ) -> http_server::HttpAnswer {
-        let mut answer = actix_http::Response::build(head.status);
-        answer_copy::copy_headers(&self.context, head, &mut answer);
-        self.mark_close(&mut answer);
-        answer.body(body).map_into_boxed_body()
+    ) -> http_server::HttpResponse {
+        let mut response = actix_http::Response::build(head.status);
+        answer_copy::copy_headers(&self.context, head, &mut response);
+        self.mark_close(&mut response);
+        response.body(body).map_into_boxed_body()
     }
 
-    pub(super) fn mark_close(&self, answer: &mut actix_http::ResponseBuilder) {
+    pub(super) fn mark_close(&self, response: &mut actix_http::ResponseBuilder) {
         if self.context.is_stopping() {
-            answer.force_close();
+            response.force_close();
         }
     }
 
     /// Keeps the connection of an answer that is complete.
     pub(super) fn give_back(&self, answered: attempt_flow::Answered) {
         if !attempt::is_failure(answered.open.incoming.head.status) {
-            answered.place.note_served();
+            answered.slot.record_served();
         }
         let limit = answered.open.notes.idle_limit;
         if let Some(connection) = answered.open.incoming.into_connection() {
@@ -230,10 +230,10 @@
     }
 
     pub(super) fn observe_first(&self) {
-        let span = self.request.arrived.elapsed();
-        self.first_event.set(Some(span));
+        let duration = self.request.arrived.elapsed();
+        self.first_event.set(Some(duration));
         let metrics = &self.context.metrics;
-        metrics.observe(&metrics.first_token, self.series(), self.label(), span);
+        metrics.observe(&metrics.first_token, self.series(), self.label(), duration);
     }
 
     /// Whose series of metrics it counts in: those of its workspace, or of its route.
@@ -247,14 +247,14 @@
     }
 
     /// One line and one count for the end of a request.
-    pub(super) fn note_end(&self, outcome: &str, status: u16) {
+    pub(super) fn record_end(&self, outcome: &str, status: u16) {
         let spent = self.request.arrived.elapsed();
         if outcome == ANSWERED {
-            crash_guard::note_served(&self.context, self.request.forwarded.digest);
+            crash_guard::record_served(&self.context, self.request.forwarded.digest);
         }
         let metrics = &self.context.metrics;
-        metrics.answers.with_label_values(&[outcome]).inc();
-        metrics.observe(&metrics.whole_answer, self.series(), self.label(), spent);
+        metrics.responses.with_label_values(&[outcome]).inc();
+        metrics.observe(&metrics.full_response, self.series(), self.label(), spent);
         log::info!(
             "event=request_end request={} digest={} workspace={} route={} version={} outcome={outcome} status={status} ms={} first_ms={} objective_ms={} ran={} not_run={} endpoint={} last_event={}",
             self.request.terms.id.as_deref().unwrap_or("-"),
@@ -272,7 +272,7 @@
         );
     }
 
-    fn refuse(&mut self, error: &FinalError) -> http_server::HttpAnswer {
+    fn refuse(&mut self, error: &FinalError) -> http_server::HttpResponse {
         let (outcome, status) = match error {
             FinalError::NotRun(..) => ("refused", StatusCode::SERVICE_UNAVAILABLE),
             FinalError::Held(_) => ("held", StatusCode::SERVICE_UNAVAILABLE),
@@ -288,16 +288,16 @@
                 token.give_back();
             }
         }
-        self.note_end(outcome, status.as_u16());
-        let mut answer = actix_http::Response::build(status);
-        self.mark_close(&mut answer);
-        if let FinalError::NotRun(pause, _) | FinalError::Held(pause) = error {
-            answer.insert_header((header::RETRY_AFTER, format!("{:.2}", pause.as_secs_f64())));
+        self.record_end(outcome, status.as_u16());
+        let mut response = actix_http::Response::build(status);
+        self.mark_close(&mut response);
+        if let FinalError::NotRun(delay, _) | FinalError::Held(delay) = error {
+            response.insert_header((header::RETRY_AFTER, format!("{:.2}", delay.as_secs_f64())));
         }
         let told = match error {
             FinalError::Held(_) => HELD_BODY,
             _ => outcome,
         };
-        answer.body(told).map_into_boxed_body()
+        response.body(told).map_into_boxed_body()
     }
 }
--- a/src/serving/request_admission.rs
+++ b/src/serving/request_admission.rs
@@ -9,7 +9,7 @@
     workspaces::{api_key, limiter, workspace_table},
 };
 use crate::{
-    decisions::authentication::{self, KeyMatch, KeyVerdict, KeyView},
+    decisions::authentication::{self, KeyFreshness, KeyMatch, KeyVerdict},
     http_server, ids, protection,
 };
 
@@ -45,9 +45,9 @@
     table: &route_table::RouteTable,
     terms: &wire::CallerTerms,
     is_public: bool,
-) -> Result<CallerWorkspace, http_server::HttpAnswer> {
+) -> Result<CallerWorkspace, http_server::HttpResponse> {
     let workspaces = table.workspaces();
-    if !workspaces.is_required() || protection::is_out("api_key") {
+    if !workspaces.is_required() || protection::is_disabled("api_key") {
         return Ok(None);
     }
     let found = match &terms.key {
@@ -58,7 +58,7 @@
         api_key::PresentedKey::Missing | api_key::PresentedKey::Malformed => KeyMatch::NoKey,
     };
     let view = key_view(context, table.version());
-    match authentication::judge(found, is_public, view) {
+    match authentication::authenticate(found, is_public, view) {
         KeyVerdict::Anonymous => Ok(None),
         KeyVerdict::Workspace(spec) => Ok(Some(spec)),
         KeyVerdict::Unauthorized => Err(unauthorized(context, table, terms)),
@@ -67,14 +67,14 @@
 }
 
 /// Whether the view of keys may be out of date.
-fn key_view(context: &context::ProcessContext, version: route_table::StateVersion) -> KeyView {
+fn key_view(context: &context::ProcessContext, version: route_table::StateVersion) -> KeyFreshness {
     let now = context.clock.now();
     let members = context.members.borrow();
     let is_newer_known = members.with_newer_state(version, now).next().is_some();
     let is_followed = context.fleet.is_following() || members.hears_follower(now);
     match is_followed && !is_newer_known {
-        true => KeyView::Current,
-        false => KeyView::Behind,
+        true => KeyFreshness::Current,
+        false => KeyFreshness::Stale,
     }
 }
 
@@ -82,13 +82,13 @@
     context: &context::ProcessContext,
     table: &route_table::RouteTable,
     terms: &wire::CallerTerms,
-) -> http_server::HttpAnswer {
+) -> http_server::HttpResponse {
     let (reason, body) = match terms.key {
         api_key::PresentedKey::Missing => ("key_missing", "an API key is required\n"),
         api_key::PresentedKey::Malformed => ("key_malformed", "the API key is malformed\n"),
         api_key::PresentedKey::Key(_) => ("key_unknown", "unknown API key\n"),
     };
-    note_rejected(context, table, terms, reason);
+    record_rejected(context, table, terms, reason);
     actix_http::Response::build(StatusCode::UNAUTHORIZED)
         .insert_header((header::WWW_AUTHENTICATE, CHALLENGE))
         .body(body)
@@ -99,8 +99,8 @@
     context: &context::ProcessContext,
     table: &route_table::RouteTable,
     terms: &wire::CallerTerms,
-) -> http_server::HttpAnswer {
-    note_rejected(context, table, terms, "key_undecided");
+) -> http_server::HttpResponse {
+    record_rejected(context, table, terms, "key_undecided");
     refused(
         StatusCode::SERVICE_UNAVAILABLE,
         UNDECIDED_PAUSE,
@@ -108,7 +108,7 @@
     )
 }
 
-fn note_rejected(
+fn record_rejected(
     context: &context::ProcessContext,
     table: &route_table::RouteTable,
     terms: &wire::CallerTerms,
@@ -126,11 +126,11 @@
 
 fn refused(
     status: StatusCode,
-    pause: time::Duration,
+    delay: time::Duration,
     body: impl Into<String>,
-) -> http_server::HttpAnswer {
+) -> http_server::HttpResponse {
     actix_http::Response::build(status)
-        .insert_header((header::RETRY_AFTER, format!("{:.2}", pause.as_secs_f64())))
+        .insert_header((header::RETRY_AFTER, format!("{:.2}", delay.as_secs_f64())))
         .body(body.into())
         .map_into_boxed_body()
 }
@@ -143,31 +143,31 @@
     context: &rc::Rc<context::ProcessContext>,
     workspace: &CallerWorkspace,
     terms: &wire::CallerTerms,
-) -> Result<Option<SpentToken>, http_server::HttpAnswer> {
+) -> Result<Option<SpentToken>, http_server::HttpResponse> {
     let Some(spec) = workspace else {
         return Ok(None);
     };
     let Some(limit) = spec.limit else {
         return Ok(None);
     };
-    if protection::is_out("rate_limit") {
+    if protection::is_disabled("rate_limit") {
         return Ok(None);
     }
     let source = limit_links::LinkedSource::new(context);
     let clock = context.clock.as_ref();
     let verdict = context.limiter.admit(&spec.id, &source, clock).await;
-    let (reason, status, pause) = match verdict {
+    let (reason, status, delay) = match verdict {
         limiter::LimitVerdict::Admitted => {
             return Ok(Some(SpentToken {
                 context: context.clone(),
                 workspace: spec.id.clone(),
             }))
         }
-        limiter::LimitVerdict::Exceeded(pause) => {
-            ("rate_limited", StatusCode::TOO_MANY_REQUESTS, pause)
+        limiter::LimitVerdict::Exceeded(delay) => {
+            ("rate_limited", StatusCode::TOO_MANY_REQUESTS, delay)
         }
-        limiter::LimitVerdict::Unchecked(pause) => {
-            ("limit_unchecked", StatusCode::SERVICE_UNAVAILABLE, pause)
+        limiter::LimitVerdict::Unchecked(delay) => {
+            ("limit_unchecked", StatusCode::SERVICE_UNAVAILABLE, delay)
         }
     };
     let rejected = &context.metrics.rejected;
@@ -177,13 +177,13 @@
         terms.id.as_deref().unwrap_or("-"),
         spec.id,
         context.fleet.table().version(),
-        pause.as_millis()
+        delay.as_millis()
     );
     let body = match status {
         StatusCode::TOO_MANY_REQUESTS => format!("rate limit of {limit} exceeded\n"),
         _ => "the rate limit cannot be checked now\n".to_owned(),
     };
-    Err(refused(status, pause, body))
+    Err(refused(status, delay, body))
 }
 
 /// Digits of a workspace in the names of its jobs.
--- a/src/serving/state_copy.rs
+++ b/src/serving/state_snapshot.rs
@@ -48,7 +48,7 @@
 
 /// A request for a part of the desired state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub enum StatePartAsk {
+pub enum StatePartRequest {
     /// The first part of the newest state.
     First,
     /// The part of a copy that begins at this byte.
@@ -137,22 +137,22 @@
 /// A transfer that has begun is brought to its end with the copy that it began
 /// with: where versions come faster than transfers end, none would end else.
 #[derive(Debug, Default)]
-pub struct CopyShelf {
+pub struct SnapshotCache {
     /// The most recently used last.
     copies: cell::RefCell<collections::VecDeque<StateCopy>>,
 }
 
-impl CopyShelf {
+impl SnapshotCache {
     /// The part that was asked for, or the first one of the newest state.
     ///
     /// # Errors
     /// The state cannot be encoded.
     pub fn part(
         &self,
-        ask: StatePartAsk,
+        request: StatePartRequest,
         newest: &route_table::DesiredState,
     ) -> Result<StatePart, CopyError> {
-        if let StatePartAsk::Next(id, offset) = ask {
+        if let StatePartRequest::Next(id, offset) = request {
             if let Some(copy) = self.find(|copy| copy.id == id) {
                 return Ok(copy.part(offset));
             }
@@ -169,8 +169,8 @@
     /// Finds a copy, and counts it as used.
     fn find(&self, wanted: impl Fn(&StateCopy) -> bool) -> Option<StateCopy> {
         let mut copies = self.copies.borrow_mut();
-        let place = copies.iter().position(wanted)?;
-        let copy = copies.remove(place)?;
+        let slot = copies.iter().position(wanted)?;
+        let copy = copies.remove(slot)?;
         copies.push_back(copy.clone());
         Some(copy)
     }
@@ -204,17 +204,17 @@
 ///
 /// Invariant: `bytes` are the first bytes of `copy`, and not all of them.
 #[derive(Debug, Default)]
-pub struct IncomingState {
+pub struct IncomingSnapshot {
     copy: Option<CopyId>,
     bytes: Vec<u8>,
 }
 
-impl IncomingState {
+impl IncomingSnapshot {
     /// What to ask for next.
-    pub fn next_ask(&self) -> StatePartAsk {
+    pub fn next_request(&self) -> StatePartRequest {
         match self.copy {
-            Some(copy) => StatePartAsk::Next(copy, self.bytes.len()),
-            None => StatePartAsk::First,
+            Some(copy) => StatePartRequest::Next(copy, self.bytes.len()),
+            None => StatePartRequest::First,
         }
     }
 
--- a/src/serving/state_transfer.rs
+++ b/src/serving/state_transfer.rs
@@ -9,7 +9,7 @@
 
 use rand::seq::IndexedRandom as _;
 
-use super::{context, fleet_source, peer_links, single_flight, state_copy};
+use super::{context, fleet_source, peer_links, single_flight, state_snapshot};
 use crate::clock;
 
 /// Longest wait for a part; it takes 2 ms of a link of 30 Mbit/s, and 270 ms of
@@ -29,8 +29,8 @@
 #[derive(Debug, Default)]
 pub struct StateTransfer {
     /// Copies for peers.
-    pub shelf: state_copy::CopyShelf,
-    incoming: cell::RefCell<state_copy::IncomingState>,
+    pub shelf: state_snapshot::SnapshotCache,
+    incoming: cell::RefCell<state_snapshot::IncomingSnapshot>,
     flight: single_flight::SingleFlight,
 }
 
@@ -80,7 +80,7 @@
 }
 
 impl TransferRun {
-    fn incoming(&self) -> cell::RefMut<'_, state_copy::IncomingState> {
+    fn incoming(&self) -> cell::RefMut<'_, state_snapshot::IncomingSnapshot> {
         self.context.state_transfer.incoming.borrow_mut()
     }
 
@@ -97,9 +97,9 @@
     async fn step(&mut self, peer: net::SocketAddr) -> NextStep {
         let links = self.context.links.clone();
         links.settle(peer).await;
-        let ask = self.incoming().next_ask();
+        let request = self.incoming().next_request();
         let asked = clock::BootInstant::now();
-        match links.state_part(peer, ask, PART_TIMEOUT).await {
+        match links.state_part(peer, request, PART_TIMEOUT).await {
             Ok(part) => self.take_part(peer, part, asked.elapsed()),
             Err(e) => self.pass_over(peer, e),
         }
@@ -108,10 +108,10 @@
     fn take_part(
         &mut self,
         peer: net::SocketAddr,
-        part: state_copy::StatePart,
+        part: state_snapshot::StatePart,
         took: time::Duration,
     ) -> NextStep {
-        use state_copy::PartOutcome as O;
+        use state_snapshot::PartOutcome as O;
 
         self.count("state_taken", part.bytes.len());
         if part.copy.version <= self.context.fleet.table().version() {
@@ -121,11 +121,11 @@
         let added = self.incoming().add(part);
         match added {
             O::Added => {
-                self.note_part(peer);
+                self.record_part(peer);
                 NextStep::From(self.next_peer(peer, took))
             }
             O::Whole(state) => {
-                self.note_part(peer);
+                self.record_part(peer);
                 self.take_whole(peer, copy, state);
                 NextStep::Stop
             }
@@ -138,7 +138,7 @@
         }
     }
 
-    fn note_part(&mut self, peer: net::SocketAddr) {
+    fn record_part(&mut self, peer: net::SocketAddr) {
         self.parts += 1;
         self.failures = 0;
         self.source = Some(peer);
@@ -147,7 +147,7 @@
     fn take_whole(
         &self,
         peer: net::SocketAddr,
-        copy: state_copy::CopyId,
+        copy: state_snapshot::CopyId,
         state: super::route_table::DesiredState,
     ) {
         log::info!(
@@ -157,13 +157,13 @@
             self.parts,
             self.begun.elapsed().as_millis()
         );
-        let news = fleet_source::FleetNews::State(state);
-        self.context.fleet.take(news);
+        let update = fleet_source::FleetUpdate::State(state);
+        self.context.fleet.take(update);
     }
 
     /// A part of another copy: goes back to the peer that has the copy that is
     /// coming in; if there is none, the other copy is taken.
-    fn take_other(&mut self, peer: net::SocketAddr, part: state_copy::StatePart) -> NextStep {
+    fn take_other(&mut self, peer: net::SocketAddr, part: state_snapshot::StatePart) -> NextStep {
         if let Some(source) = self.source.filter(|source| *source != peer) {
             self.keeps_source = true;
             return NextStep::From(source);
@@ -175,8 +175,8 @@
         self.restarts += 1;
         let added = self.incoming().add(part);
         match added {
-            state_copy::PartOutcome::Added => {
-                self.note_part(peer);
+            state_snapshot::PartOutcome::Added => {
+                self.record_part(peer);
                 NextStep::From(peer)
             }
             _ => NextStep::Stop,
@@ -184,9 +184,9 @@
     }
 
     /// Goes on with another peer, if there is one.
-    fn pass_over(&mut self, peer: net::SocketAddr, why: peer_links::PeerError) -> NextStep {
+    fn pass_over(&mut self, peer: net::SocketAddr, reason: peer_links::PeerError) -> NextStep {
         self.count("state_missing", 0);
-        log::info!("event=peer_state_missing peer={peer} why=\"{why}\"");
+        log::info!("event=peer_state_missing peer={peer} why=\"{reason}\"");
         self.failures += 1;
         if self.source == Some(peer) {
             self.source = None;
--- a/src/serving/views.rs
+++ b/src/serving/views.rs
@@ -62,23 +62,23 @@
             actix_rt::time::sleep(MEMBER_RETRY).await;
             continue;
         }
-        let answer = context.store.watch(&[&prefix], since, MEMBER_WAIT);
-        let answer = tokio::select! {
-            answer = answer => answer,
+        let response = context.store.watch(&[&prefix], since, MEMBER_WAIT);
+        let response = tokio::select! {
+            response = response => response,
             () = context.fleet.source_return() => continue,
         };
-        match answer {
-            Ok(answer) => {
+        match response {
+            Ok(response) => {
                 let is_first = since.0 == 0;
-                since = store::ObjectRevision(answer.revision);
+                since = store::ObjectRevision(response.revision);
                 context.members_known.set(true);
-                take_members(&context, &prefix, answer.changes);
+                take_members(&context, &prefix, response.changes);
                 context.members_news.notify_one();
-                let pause = match is_first {
+                let delay = match is_first {
                     true => FIRST_WATCH_PAUSE,
                     false => NEXT_WATCH_PAUSE,
                 };
-                actix_rt::time::sleep(pause).await;
+                actix_rt::time::sleep(delay).await;
             }
             Err(e) => {
                 log::info!("event=members_unread why=\"{e}\"");
@@ -150,7 +150,7 @@
         // New peers are probed at once: the first second after a start is spent
         // without owners until they have answered.
         tokio::select! {
-            () = actix_rt::time::sleep(members::PROBE_PAUSE) => {}
+            () = actix_rt::time::sleep(members::PROBE_INTERVAL) => {}
             () = context.members_news.notified() => {}
         }
     }
@@ -163,9 +163,9 @@
     let owners = context.owners();
     let followers = &owners[..owners.len().min(members::FOLLOWERS)];
     let shares = context.shares.borrow();
-    let keepers = shares.keepers();
+    let quota_servers = shares.quota_servers();
     let is_first =
-        |id: &ids::InstanceId| keepers.contains(id) || followers.iter().any(|o| o.id == *id);
+        |id: &ids::InstanceId| quota_servers.contains(id) || followers.iter().any(|o| o.id == *id);
     let peers = peers.into_iter().enumerate();
     let members = context.members.borrow();
     let due = peers.filter(|(n, record)| {
@@ -195,14 +195,14 @@
     context.links.settle(record.address).await;
     let mut hello = context.hello();
     let deposit = limit_links::add_deposit(&context, &record.id, &mut hello);
-    let answer = context
+    let response = context
         .links
         .probe(record.address, hello, PROBE_TIMEOUT)
         .await;
-    limit_links::settle_deposit(&context, deposit, &answer);
-    match answer {
+    limit_links::settle_deposit(&context, deposit, &response);
+    match response {
         Ok(hello) if hello.id == record.id => {
-            limit_links::note_stamp(&context, &hello);
+            limit_links::record_stamp(&context, &hello);
             hear(&context, &hello);
             crash_guard::learn(&context, record.address, &hello);
             catch_up(&context, record.address, &hello).await;
@@ -239,7 +239,7 @@
 }
 
 fn hear(context: &context::ProcessContext, hello: &peers::PeerHello) {
-    let heard = note_heard(context, hello);
+    let heard = record_heartbeat(context, hello);
     if heard == members::HeardRun::Next {
         log::info!("event=peer_restarted peer={} run={}", hello.id, hello.run);
     }
@@ -249,21 +249,24 @@
 }
 
 /// Takes what a peer says of itself.
-fn note_heard(context: &context::ProcessContext, hello: &peers::PeerHello) -> members::HeardRun {
+fn record_heartbeat(
+    context: &context::ProcessContext,
+    hello: &peers::PeerHello,
+) -> members::HeardRun {
     let now = context.clock.now();
     let heartbeat = members::PeerHeartbeat {
         run: hello.run,
         leaving: hello.leaving,
-        hears: hello.hears.clone(),
+        receives_from: hello.receives_from.clone(),
         follows_store: hello.follows_store,
         version: hello.version,
     };
     let mut members = context.members.borrow_mut();
-    let heard = members.note_heard(&hello.id, heartbeat, now);
-    let mut rooms = context.rooms.borrow_mut();
-    rooms.retain(|(id, _), _| *id != hello.id);
-    for (service, room) in &hello.rooms {
-        rooms.insert((hello.id.clone(), service.clone()), *room);
+    let heard = members.record_heartbeat(&hello.id, heartbeat, now);
+    let mut free_slots = context.free_slots.borrow_mut();
+    free_slots.retain(|(id, _), _| *id != hello.id);
+    for (service, count) in &hello.free_slots {
+        free_slots.insert((hello.id.clone(), service.clone()), *count);
     }
     heard
 }
@@ -307,8 +310,8 @@
             count_read(context, "endpoints_taken");
             let (id, revision) = (&hello.id, copy.revision);
             log::info!("event=endpoints_from_peer peer={id} revision={revision}");
-            let news = fleet_source::FleetNews::PeerEndpoints(copy);
-            context.fleet.take(news);
+            let update = fleet_source::FleetUpdate::PeerEndpoints(copy);
+            context.fleet.take(update);
         }
         Err(e) => {
             count_read(context, "endpoints_missing");
--- a/src/serving/workspaces/limit_messages.rs
+++ b/src/serving/workspaces/limit_messages.rs
@@ -12,13 +12,13 @@
 
 impl ClockStamp {
     /// The stamp of a moment.
-    pub fn of(moment: clock::Moment) -> Self {
+    pub fn of(moment: clock::MonotonicTime) -> Self {
         Self(moment.0)
     }
 
     /// The moment of a stamp of this process.
-    pub fn moment(self) -> clock::Moment {
-        clock::Moment(self.0)
+    pub fn moment(self) -> clock::MonotonicTime {
+        clock::MonotonicTime(self.0)
     }
 }
 
@@ -30,7 +30,7 @@
     /// The share.
     pub time: share_clock::ShareTime,
     /// The keepers that the gateway knows.
-    pub view: share_clock::KeeperView,
+    pub view: share_clock::QuotaServerView,
     /// The run of the keeper that made the stamp.
     pub run: ids::RunNumber,
     /// The latest stamp of the keeper that the gateway has read.
@@ -39,7 +39,7 @@
 
 /// A request for tokens of a workspace.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct GrantAsk {
+pub struct TokenRequest {
     /// The workspace.
     pub workspace: ids::WorkspaceId,
     /// Tokens that can be used.
@@ -48,7 +48,7 @@
 
 /// The answer to a request for tokens.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub enum GrantAnswer {
+pub enum TokenResponse {
     /// So many tokens, at least one.
     Tokens(u32),
     /// None; there is one again after so many milliseconds.
@@ -57,7 +57,7 @@
     NotKeeper,
 }
 
-impl From<token_pools::Grant> for GrantAnswer {
+impl From<token_pools::Grant> for TokenResponse {
     fn from(grant: token_pools::Grant) -> Self {
         match grant {
             token_pools::Grant::Tokens(count) => Self::Tokens(count),
--- a/src/serving/workspaces/limiter.rs
+++ b/src/serving/workspaces/limiter.rs
@@ -10,7 +10,7 @@
 use tokio::sync::Notify;
 
 use super::limit_messages;
-use crate::{clock, decisions::rate_limits::grant_stock, ids};
+use crate::{clock, decisions::rate_limits::token_cache, ids};
 
 /// Longest wait for a request for tokens that another request of the workspace made.
 const FLIGHT_TIMEOUT: time::Duration = time::Duration::from_secs(1);
@@ -24,14 +24,14 @@
 /// Where tokens are drawn.
 pub trait GrantSource {
     /// The keepers of a workspace's pools, the first choice first.
-    fn keepers(&self, workspace: &ids::WorkspaceId) -> Vec<ids::InstanceId>;
+    fn quota_servers(&self, workspace: &ids::WorkspaceId) -> Vec<ids::InstanceId>;
 
     /// Asks a keeper for tokens; nothing if it does not answer.
-    fn ask(
+    fn send_request(
         &self,
-        keeper: ids::InstanceId,
-        ask: limit_messages::GrantAsk,
-    ) -> future::LocalBoxFuture<'_, Option<limit_messages::GrantAnswer>>;
+        quota_server: ids::InstanceId,
+        request: limit_messages::TokenRequest,
+    ) -> future::LocalBoxFuture<'_, Option<limit_messages::TokenResponse>>;
 }
 
 /// Whether a request may be served.
@@ -55,7 +55,7 @@
 /// Tokens of a gateway, and the requests for more that are under way.
 #[derive(Default)]
 pub struct Limiter {
-    stock: cell::RefCell<grant_stock::GrantStock>,
+    cache: cell::RefCell<token_cache::TokenCache>,
     flights: cell::RefCell<collections::HashMap<ids::WorkspaceId, rc::Rc<AskFlight>>>,
 }
 
@@ -94,18 +94,20 @@
         source: &dyn GrantSource,
         clock: &dyn clock::MonotonicClock,
     ) -> LimitVerdict {
-        self.stock.borrow_mut().note_request(workspace, clock.now());
+        self.cache
+            .borrow_mut()
+            .record_request(workspace, clock.now());
         let begun = clock.now();
         loop {
             let now = clock.now();
-            if self.stock.borrow_mut().spend(workspace, now) {
+            if self.cache.borrow_mut().spend(workspace, now) {
                 return LimitVerdict::Admitted;
             }
-            if let Some(denial) = self.stock.borrow().denial(workspace, now) {
+            if let Some(denial) = self.cache.borrow().denial(workspace, now) {
                 return refusal(denial);
             }
             if now.since(begun) > FLIGHT_TIMEOUT {
-                return refusal(grant_stock::Denial::Silent);
+                return refusal(token_cache::Denial::Silent);
             }
             let under_way = self.flights.borrow().get(workspace).cloned();
             match under_way {
@@ -116,13 +118,13 @@
     }
 
     /// Gives back the token of a request that was not run.
-    pub fn give_back(&self, workspace: &ids::WorkspaceId, now: clock::Moment) {
-        self.stock.borrow_mut().put(workspace, 1, now);
+    pub fn give_back(&self, workspace: &ids::WorkspaceId, now: clock::MonotonicTime) {
+        self.cache.borrow_mut().put(workspace, 1, now);
     }
 
     /// Forgets workspaces without requests since a moment.
-    pub fn forget_idle(&self, since: clock::Moment) {
-        self.stock.borrow_mut().forget_idle(since);
+    pub fn forget_idle(&self, since: clock::MonotonicTime) {
+        self.cache.borrow_mut().forget_idle(since);
     }
 
     /// Asks the keepers of a workspace in turn, and notes what they say.
@@ -134,53 +136,56 @@
     ) {
         let guard = FlightGuard::begin(self, workspace);
         let denial = match self
-            .ask_keepers(workspace, source, clock, &guard.flight)
+            .query_quota_servers(workspace, source, clock, &guard.flight)
             .await
         {
             Ok(()) => return,
             Err(denial) => denial,
         };
-        let mut stock = self.stock.borrow_mut();
-        stock.note_denial(workspace, denial, clock.now());
+        let mut cache = self.cache.borrow_mut();
+        cache.record_denial(workspace, denial, clock.now());
     }
 
     /// Asks the keepers one after the other; who is slow is asked beside the next one.
     ///
     /// # Errors
     /// None of them gave a token.
-    async fn ask_keepers(
+    async fn query_quota_servers(
         &self,
         workspace: &ids::WorkspaceId,
         source: &dyn GrantSource,
         clock: &dyn clock::MonotonicClock,
         flight: &AskFlight,
-    ) -> Result<(), grant_stock::Denial> {
-        let mut denial = grant_stock::Denial::Silent;
-        let mut keepers = source.keepers(workspace).into_iter();
+    ) -> Result<(), token_cache::Denial> {
+        let mut denial = token_cache::Denial::Silent;
+        let mut quota_servers = source.quota_servers(workspace).into_iter();
         let mut asks = stream::FuturesUnordered::new();
         loop {
-            if let Some(keeper) = keepers.next() {
+            if let Some(quota_server) = quota_servers.next() {
                 let wanted = self.wanted(workspace, flight);
                 let workspace = workspace.clone();
                 let asked_at = clock.now();
-                let ask = source.ask(keeper, limit_messages::GrantAsk { workspace, wanted });
-                asks.push(ask.map(move |answer| (answer, asked_at)));
+                let request = source.send_request(
+                    quota_server,
+                    limit_messages::TokenRequest { workspace, wanted },
+                );
+                asks.push(request.map(move |response| (response, asked_at)));
             }
             if asks.is_empty() {
                 return Err(denial);
             }
-            let is_last = keepers.len() == 0;
+            let is_last = quota_servers.len() == 0;
             tokio::select! {
                 biased;
-                Some((answer, asked_at)) = asks.next() => match answer {
-                    Some(limit_messages::GrantAnswer::Tokens(count)) => {
-                        self.stock.borrow_mut().put(workspace, count, asked_at);
+                Some((response, asked_at)) = asks.next() => match response {
+                    Some(limit_messages::TokenResponse::Tokens(count)) => {
+                        self.cache.borrow_mut().put(workspace, count, asked_at);
                         return Ok(());
                     }
-                    Some(limit_messages::GrantAnswer::Empty(ms)) => {
+                    Some(limit_messages::TokenResponse::Empty(ms)) => {
                         denial = sooner(denial, time::Duration::from_millis(ms.into()));
                     }
-                    Some(limit_messages::GrantAnswer::NotKeeper) | None => {}
+                    Some(limit_messages::TokenResponse::NotKeeper) | None => {}
                 },
                 () = tokio::time::sleep(HEDGE_PAUSE), if !is_last => {}
             }
@@ -190,7 +195,7 @@
     /// Tokens to ask for, with those for the requests that wait.
     fn wanted(&self, workspace: &ids::WorkspaceId, flight: &AskFlight) -> u32 {
         let waiting = flight.waiting.get() + 1;
-        self.stock.borrow_mut().wanted(workspace, waiting)
+        self.cache.borrow_mut().wanted(workspace, waiting)
     }
 }
 
@@ -204,19 +209,19 @@
 }
 
 /// The denial after one more keeper has said when it has a token.
-fn sooner(before: grant_stock::Denial, wait: time::Duration) -> grant_stock::Denial {
+fn sooner(before: token_cache::Denial, wait: time::Duration) -> token_cache::Denial {
     match before {
-        grant_stock::Denial::Exceeded(other) => grant_stock::Denial::Exceeded(other.min(wait)),
-        grant_stock::Denial::Silent => grant_stock::Denial::Exceeded(wait),
+        token_cache::Denial::Exceeded(other) => token_cache::Denial::Exceeded(other.min(wait)),
+        token_cache::Denial::Silent => token_cache::Denial::Exceeded(wait),
     }
 }
 
 /// The verdict on a request without a token. Callers return at different times, or
 /// the limit would be used up by the first of them again.
-fn refusal(denial: grant_stock::Denial) -> LimitVerdict {
+fn refusal(denial: token_cache::Denial) -> LimitVerdict {
     let spread = RETURN_SPREAD.mul_f64(rand::rng().random());
     match denial {
-        grant_stock::Denial::Exceeded(wait) => LimitVerdict::Exceeded(wait + spread),
-        grant_stock::Denial::Silent => LimitVerdict::Unchecked(SILENT_PAUSE + spread / 4),
+        token_cache::Denial::Exceeded(wait) => LimitVerdict::Exceeded(wait + spread),
+        token_cache::Denial::Silent => LimitVerdict::Unchecked(SILENT_PAUSE + spread / 4),
     }
 }
--- a/src/smoke.rs
+++ b/src/smoke.rs
@@ -19,7 +19,7 @@
 /// A call went wrong.
 pub fn run(fleet: &local_fleet::LocalFleet) -> cli::CommandResult<()> {
     actix_rt::System::new().block_on(async {
-        let client = client::ApiClient::new(&fleet.reach(local_fleet::CALLER_KEY));
+        let client = client::ApiClient::new(&fleet.profile(local_fleet::CALLER_KEY));
         let mut all_right = true;
         all_right &= report("online", whole(&client)).await;
         all_right &= report("stream", stream(&client)).await;
@@ -61,7 +61,7 @@
 }
 
 /// The answer that the stand-in engines give to a message.
-pub fn expected_answer(content: &str, tokens: u32) -> String {
+pub fn expected_response(content: &str, tokens: u32) -> String {
     engine_model::answer_text(&format!("user\n{content}\n"), tokens)
 }
 
@@ -75,13 +75,13 @@
 
 async fn whole(client: &client::ApiClient) -> cli::CommandResult<String> {
     let content = "a cover note for a parcel";
-    let answer = client
+    let response = client
         .post("/v1/chat/completions", request(content, false))
         .await?;
-    let text = answer["choices"][0]["message"]["content"]
+    let text = response["choices"][0]["message"]["content"]
         .as_str()
         .unwrap_or_default();
-    compare(text, &expected_answer(content, TOKENS))?;
+    compare(text, &expected_response(content, TOKENS))?;
     Ok(format!("{TOKENS} tokens"))
 }
 
@@ -110,7 +110,7 @@
                 .unwrap_or_default(),
         );
     }
-    compare(&text, &expected_answer(content, TOKENS))?;
+    compare(&text, &expected_response(content, TOKENS))?;
     if !finished {
         return Err(cli::CommandError::failed("the stream did not end"));
     }
@@ -119,11 +119,11 @@
 
 async fn plain(client: &client::ApiClient) -> cli::CommandResult<String> {
     let path = format!("/services/{}/check", local_fleet::SERVICE);
-    let answer = client
+    let response = client
         .post(&path, b"Vitosha Blvd 1, Sofia".to_vec())
         .await?;
     compare(
-        answer["echo"].as_str().unwrap_or_default(),
+        response["echo"].as_str().unwrap_or_default(),
         "Vitosha Blvd 1, Sofia",
     )?;
     Ok("echoed".into())
@@ -159,7 +159,7 @@
             .unwrap_or_default();
         compare(
             text,
-            &expected_answer(&format!("offer letter {number}"), TOKENS),
+            &expected_response(&format!("offer letter {number}"), TOKENS),
         )?;
         if !seen.insert(name.clone()) {
             return Err(cli::CommandError::failed(format!(
