--- a/src/standin/engine.rs
+++ b/src/standin/engine.rs
@@ -45,8 +45,8 @@
     async fn run_steps(self) {
         loop {
             if self.state.borrow().model.is_idle() || self.state.borrow().faults.freeze {
-                let pause = time::Duration::from_millis(20);
-                let _ = actix_rt::time::timeout(pause, self.work.notified()).await;
+                let delay = time::Duration::from_millis(20);
+                let _ = actix_rt::time::timeout(delay, self.work.notified()).await;
                 self.state.borrow_mut().update_report(0);
                 continue;
             }
@@ -60,7 +60,7 @@
         }
     }
 
-    async fn serve(self, mut request: actix_http::Request) -> http_server::HttpAnswer {
+    async fn serve(self, mut request: actix_http::Request) -> http_server::HttpResponse {
         let path = request.path().to_owned();
         match (request.method().clone(), path.as_str()) {
             (Method::POST, "/v1/chat/completions" | "/v1/completions") => {
@@ -74,11 +74,11 @@
                     self.state.borrow_mut().faults = faults;
                     http_server::plain(StatusCode::OK, "set")
                 }
-                Err(answer) => answer,
+                Err(response) => response,
             },
             (Method::POST, "/orders") => match super::read_json(&mut request).await {
                 Ok(order) => self.state.borrow_mut().take_order(order),
-                Err(answer) => answer,
+                Err(response) => response,
             },
             (Method::GET, "/orders") => {
                 http_server::json(StatusCode::OK, &self.state.borrow().order)
@@ -94,7 +94,7 @@
                     let blocks = self.state.borrow().model.export(&query.prompt);
                     http_server::json(StatusCode::OK, &KvBlocks { blocks })
                 }
-                Err(answer) => answer,
+                Err(response) => response,
             },
             (Method::POST, "/kv/import") => {
                 match super::read_json::<KvBlocks>(&mut request).await {
@@ -102,7 +102,7 @@
                         self.state.borrow_mut().model.import(&kv.blocks);
                         http_server::plain(StatusCode::OK, "imported")
                     }
-                    Err(answer) => answer,
+                    Err(response) => response,
                 }
             }
             (Method::GET, "/effects") => {
@@ -118,7 +118,7 @@
     }
 
     /// Cache events after a number: late, and with gaps.
-    async fn cache_events(&self, request: &actix_http::Request) -> http_server::HttpAnswer {
+    async fn cache_events(&self, request: &actix_http::Request) -> http_server::HttpResponse {
         let after = http_server::query(request.uri(), "after").and_then(|v| v.parse().ok());
         let events: Vec<engine_model::CacheEvent> = {
             let state = self.state.borrow();
@@ -132,7 +132,7 @@
         http_server::json(StatusCode::OK, &events)
     }
 
-    async fn generate(&self, request: &mut actix_http::Request) -> http_server::HttpAnswer {
+    async fn generate(&self, request: &mut actix_http::Request) -> http_server::HttpResponse {
         let head = request.head();
         let attempt = http_server::header(head, wire::ATTEMPT_HEADER)
             .unwrap_or("")
@@ -144,7 +144,7 @@
         let chat = wire::is_chat(request.path());
         let body: engine_state::EngineRequest = match super::read_json(request).await {
             Ok(body) => body,
-            Err(answer) => return answer,
+            Err(response) => return response,
         };
         if self.state.borrow().faults.refuse {
             return refused();
@@ -199,7 +199,7 @@
     model: &str,
     sender_name: String,
     mut tokens: stream::LocalBoxStream<'static, Option<engine_model::MadeToken>>,
-) -> http_server::HttpAnswer {
+) -> http_server::HttpResponse {
     let mut text = String::new();
     while let Some(token) = tokens.next().await {
         match token {
@@ -208,16 +208,16 @@
         }
     }
     let count = engine_model::token_count(&prompt);
-    let answer = wire::whole_answer(chat, "gen-0", model, &text, count);
-    let mut answer = http_server::json(StatusCode::OK, &answer);
+    let response = wire::full_response(chat, "gen-0", model, &text, count);
+    let mut response = http_server::json(StatusCode::OK, &response);
     if let Ok(value) = sender_name.parse() {
         let name = actix_http::header::HeaderName::from_static(wire::ATTEMPT_HEADER);
-        answer.headers_mut().insert(name, value);
+        response.headers_mut().insert(name, value);
     }
-    answer
+    response
 }
 
-fn refused() -> http_server::HttpAnswer {
+fn refused() -> http_server::HttpResponse {
     actix_http::Response::build(StatusCode::SERVICE_UNAVAILABLE)
         .insert_header((wire::RAN_HEADER, "no"))
         .body("refused")
@@ -263,7 +263,7 @@
     fn handle(
         &self,
         request: actix_http::Request,
-    ) -> future::LocalBoxFuture<'static, http_server::HttpAnswer> {
+    ) -> future::LocalBoxFuture<'static, http_server::HttpResponse> {
         self.clone().serve(request).boxed_local()
     }
 }
--- a/src/standin/objects.rs
+++ b/src/standin/objects.rs
@@ -128,7 +128,7 @@
         }
     }
 
-    fn changes(&self, prefixes: &[String], since: u64) -> platform::WatchAnswer {
+    fn changes(&self, prefixes: &[String], since: u64) -> platform::WatchResponse {
         let wanted = |key: &String| prefixes.iter().any(|p| key.starts_with(p.as_str()));
         let mut changes: Vec<platform::ObjectChange> = self
             .objects
@@ -157,7 +157,7 @@
             Some(last) if more => last.revision,
             _ => self.revision,
         };
-        platform::WatchAnswer { revision, changes }
+        platform::WatchResponse { revision, changes }
     }
 
     fn all(&self) -> Vec<platform::ObjectChange> {
@@ -169,8 +169,8 @@
         self.objects.iter().map(change).collect()
     }
 
-    fn list(&self, prefix: &str, after: &str) -> platform::ListAnswer {
-        let mut answer = platform::ListAnswer::default();
+    fn list(&self, prefix: &str, after: &str) -> platform::ListResponse {
+        let mut response = platform::ListResponse::default();
         let mut size = 0;
         let range = self.objects.range(prefix.to_owned()..);
         for (key, object) in range.take_while(|(key, _)| key.starts_with(prefix)) {
@@ -178,17 +178,17 @@
                 continue;
             }
             size += object.value.len();
-            if answer.items.len() >= PAGE_ITEMS || size > PAGE_BYTES {
-                answer.more = true;
+            if response.items.len() >= PAGE_ITEMS || size > PAGE_BYTES {
+                response.more = true;
                 break;
             }
-            answer.items.push(platform::ObjectChange {
+            response.items.push(platform::ObjectChange {
                 key: key.clone(),
                 revision: object.revision,
                 value: Some(String::from_utf8_lossy(&object.value).into_owned()),
             });
         }
-        answer
+        response
     }
 }
 
@@ -233,7 +233,7 @@
         }
     }
 
-    async fn serve(self, mut request: actix_http::Request) -> http_server::HttpAnswer {
+    async fn serve(self, mut request: actix_http::Request) -> http_server::HttpResponse {
         let path = request.path().to_owned();
         match path.as_str() {
             "/faults" => return self.set_faults(&mut request).await,
@@ -255,7 +255,7 @@
         if !self.table.borrow_mut().admit(write, second) {
             return http_server::plain(StatusCode::TOO_MANY_REQUESTS, "rate");
         }
-        let answer = match path.as_str() {
+        let response = match path.as_str() {
             "/watch" => self.watch(&request).await,
             "/list" => self.list(&request),
             "/endpoints" => self.endpoints(&request),
@@ -264,10 +264,10 @@
                 None => http_server::plain(StatusCode::NOT_FOUND, "no such path"),
             },
         };
-        if let body::BodySize::Sized(bytes) = answer.body().size() {
+        if let body::BodySize::Sized(bytes) = response.body().size() {
             self.table.borrow_mut().stats.sent_bytes += bytes;
         }
-        answer
+        response
     }
 
     fn stats(&self) -> ObjectStats {
@@ -278,17 +278,17 @@
         }
     }
 
-    async fn set_faults(&self, request: &mut actix_http::Request) -> http_server::HttpAnswer {
+    async fn set_faults(&self, request: &mut actix_http::Request) -> http_server::HttpResponse {
         match super::read_json(request).await {
             Ok(faults) => {
                 self.table.borrow_mut().faults = faults;
                 http_server::plain(StatusCode::OK, "set")
             }
-            Err(answer) => answer,
+            Err(response) => response,
         }
     }
 
-    async fn set_endpoints(&self, request: &mut actix_http::Request) -> http_server::HttpAnswer {
+    async fn set_endpoints(&self, request: &mut actix_http::Request) -> http_server::HttpResponse {
         match super::read_json(request).await {
             Ok(endpoints) => {
                 let mut table = self.table.borrow_mut();
@@ -297,12 +297,12 @@
                 table.endpoints_revision += 1;
                 http_server::plain(StatusCode::OK, "set")
             }
-            Err(answer) => answer,
+            Err(response) => response,
         }
     }
 
     /// The list of endpoints, unless the caller has it already.
-    fn endpoints(&self, request: &actix_http::Request) -> http_server::HttpAnswer {
+    fn endpoints(&self, request: &actix_http::Request) -> http_server::HttpResponse {
         let table = self.table.borrow();
         let lag = time::Duration::from_millis(table.faults.list_lag_ms);
         let old = table
@@ -321,14 +321,14 @@
         tagged(StatusCode::OK, revision, text.into())
     }
 
-    fn list(&self, request: &actix_http::Request) -> http_server::HttpAnswer {
+    fn list(&self, request: &actix_http::Request) -> http_server::HttpResponse {
         let prefix = http_server::query(request.uri(), "prefix").unwrap_or_default();
         let after = http_server::query(request.uri(), "after").unwrap_or_default();
-        let answer = self.table.borrow().list(&prefix, &after);
-        http_server::json(StatusCode::OK, &answer)
+        let response = self.table.borrow().list(&prefix, &after);
+        http_server::json(StatusCode::OK, &response)
     }
 
-    async fn watch(&self, request: &actix_http::Request) -> http_server::HttpAnswer {
+    async fn watch(&self, request: &actix_http::Request) -> http_server::HttpResponse {
         let number = |name| http_server::query(request.uri(), name).and_then(|v| v.parse().ok());
         let prefixes = http_server::query(request.uri(), "prefixes").unwrap_or_default();
         let prefixes: Vec<String> = prefixes.split(',').map(str::to_owned).collect();
@@ -336,10 +336,10 @@
         let wait = time::Duration::from_secs(number("wait").unwrap_or(30).min(60));
         let deadline = time::Instant::now() + wait;
         loop {
-            let answer = self.table.borrow().changes(&prefixes, since);
+            let response = self.table.borrow().changes(&prefixes, since);
             let left = deadline.saturating_duration_since(time::Instant::now());
-            if !answer.changes.is_empty() || left.is_zero() {
-                return http_server::json(StatusCode::OK, &answer);
+            if !response.changes.is_empty() || left.is_zero() {
+                return http_server::json(StatusCode::OK, &response);
             }
             let _ = actix_rt::time::timeout(left, self.changed.notified()).await;
             if self.table.borrow().faults.out {
@@ -352,7 +352,7 @@
         &self,
         key: &str,
         request: &mut actix_http::Request,
-    ) -> http_server::HttpAnswer {
+    ) -> http_server::HttpResponse {
         if request.method() == Method::GET {
             return self.get(key);
         }
@@ -383,7 +383,7 @@
         tagged(StatusCode::OK, revision, bytes::Bytes::new())
     }
 
-    fn get(&self, key: &str) -> http_server::HttpAnswer {
+    fn get(&self, key: &str) -> http_server::HttpResponse {
         let table = self.table.borrow();
         match table.objects.get(key) {
             Some(object) => tagged(StatusCode::OK, object.revision, object.value.clone()),
@@ -392,7 +392,7 @@
     }
 }
 
-fn tagged(status: StatusCode, revision: u64, body: bytes::Bytes) -> http_server::HttpAnswer {
+fn tagged(status: StatusCode, revision: u64, body: bytes::Bytes) -> http_server::HttpResponse {
     actix_http::Response::build(status)
         .insert_header(("etag", format!("\"{revision}\"")))
         .body(body)
@@ -403,7 +403,7 @@
     fn handle(
         &self,
         request: actix_http::Request,
-    ) -> future::LocalBoxFuture<'static, http_server::HttpAnswer> {
+    ) -> future::LocalBoxFuture<'static, http_server::HttpResponse> {
         self.clone().serve(request).boxed_local()
     }
 }
--- a/tests/endpoint_runs.rs
+++ b/tests/endpoint_runs.rs
@@ -4,7 +4,7 @@
 
 use jayhollow::{
     clock,
-    decisions::{backoff_marks, retry},
+    decisions::{endpoint_backoff, retry},
     ids,
     serving::{
         directory::{ChangeTerms, EndpointDirectory, EndpointEntry, ListChange},
@@ -33,8 +33,8 @@
     name.parse().expect("a name")
 }
 
-fn at(millis: u64) -> clock::Moment {
-    clock::Moment(millis * 1000)
+fn at(millis: u64) -> clock::MonotonicTime {
+    clock::MonotonicTime(millis * 1000)
 }
 
 /// What the store tells at a moment.
@@ -79,7 +79,7 @@
     let both = [entry("a", 1, Some(5)), entry("b", 1, Some(9))];
     let both = both.map(ListChange::Listed).to_vec();
     directory.apply(both, from_store(0));
-    assert!(directory.note_misnamed(&id("b"), Some(ids::StartTime(9)), at(0)));
+    assert!(directory.record_misnamed(&id("b"), Some(ids::StartTime(9)), at(0)));
     assert_eq!(names(&directory), ["a:1"]);
     assert!(directory.retry_misnamed(at(1000)));
     assert_eq!(names(&directory), ["b:1"]);
@@ -142,15 +142,15 @@
     directory.apply(listed(entry("a", 1, Some(5))), from_store(0));
     let earlier = Some(ids::StartTime(4));
     assert!(
-        !directory.note_misnamed(&id("a"), earlier, at(0)),
+        !directory.record_misnamed(&id("a"), earlier, at(0)),
         "of another start"
     );
-    assert!(directory.note_misnamed(&id("a"), Some(ids::StartTime(5)), at(0)));
+    assert!(directory.record_misnamed(&id("a"), Some(ids::StartTime(5)), at(0)));
     assert!(names(&directory).is_empty());
     assert!(!directory.retry_misnamed(at(900)));
     assert!(directory.retry_misnamed(at(1000)));
     assert_eq!(names(&directory), ["a:1"]);
-    assert!(directory.note_misnamed(&id("a"), Some(ids::StartTime(5)), at(1100)));
+    assert!(directory.record_misnamed(&id("a"), Some(ids::StartTime(5)), at(1100)));
     directory.apply(listed(entry("a", 1, Some(5))), from_store(1200));
     assert_eq!(names(&directory), ["a:1"], "its writer is there");
 }
@@ -158,7 +158,7 @@
 #[test]
 fn marks_last_longer_each_time_and_are_forgotten() {
     let mut rng = rand::rngs::SmallRng::seed_from_u64(7);
-    let mut marks = backoff_marks::BackoffMarks::new(backoff_marks::BackoffRange {
+    let mut marks = endpoint_backoff::EndpointBackoff::new(endpoint_backoff::BackoffRange {
         first: time::Duration::from_secs(1),
         last: time::Duration::from_secs(8),
         spread: 0.0,
@@ -166,7 +166,7 @@
     let mut now = 0;
     let mut spans = Vec::new();
     for _ in 0..6 {
-        assert!(marks.note(&id("a"), at(now), &mut rng));
+        assert!(marks.record(&id("a"), at(now), &mut rng));
         let begun = now;
         while !marks.expire(at(now)) {
             now += 100;
@@ -175,7 +175,7 @@
     }
     assert_eq!(spans, [1, 2, 4, 8, 8, 8]);
     marks.expire(at(now + 9000));
-    assert!(marks.note(&id("a"), at(now + 9000), &mut rng));
+    assert!(marks.record(&id("a"), at(now + 9000), &mut rng));
     assert!(marks.expire(at(now + 10_000)), "it is new again");
 }
 
@@ -186,8 +186,8 @@
     board
 }
 
-fn ask(number: u64) -> peers::PlaceAsk {
-    peers::PlaceAsk {
+fn request(number: u64) -> peers::OnlineSlotRequest {
+    peers::OnlineSlotRequest {
         number,
         holder: ids::InstanceRun {
             instance: "g".parse().expect("a name"),
@@ -206,16 +206,16 @@
     let none = std::collections::HashSet::new();
     let mut board = board(&[entry("a", 1, None)]);
     let granted = |board: &mut permits::PermitBoard, number, now| {
-        board.acquire(&ask(number), &none, now).is_some()
+        board.acquire(&request(number), &none, now).is_some()
     };
     assert!(granted(&mut board, 1, at(0)));
-    board.note_refused(&id("a"), at(0));
+    board.record_refused(&id("a"), at(0));
     assert!(!granted(&mut board, 2, at(1)));
     assert!(board.begin_batch(&service(), &none, at(1)).is_none());
-    assert_eq!(board.online_room(&service()), 0, "others are told so");
+    assert_eq!(board.free_online_slots(&service()), 0, "others are told so");
     assert!(board.reopen(at(100)));
     assert!(granted(&mut board, 3, at(100)));
-    board.note_refused(&id("a"), at(100));
+    board.record_refused(&id("a"), at(100));
     assert!(!granted(&mut board, 4, at(101)));
     let number = 1;
     board.release_served(number, at(101));
@@ -245,14 +245,14 @@
     let mut board = board(&[entry("a", 1, None), entry("b", 1, None)]);
     board.set_doubtful(directory.doubtful().clone());
     for number in 0..2 {
-        assert!(board.acquire(&ask(number), &none, at(0)).is_some());
+        assert!(board.acquire(&request(number), &none, at(0)).is_some());
     }
-    assert!(board.acquire(&ask(2), &none, at(0)).is_none());
+    assert!(board.acquire(&request(2), &none, at(0)).is_none());
     assert!(board.begin_batch(&service(), &none, at(0)).is_none());
-    assert!(directory.note_named(&id("b")));
-    assert!(directory.note_misnamed(&id("a"), None, at(0)));
+    assert!(directory.record_named(&id("b")));
+    assert!(directory.record_misnamed(&id("a"), None, at(0)));
     board.set_doubtful(directory.doubtful().clone());
-    assert!(board.acquire(&ask(3), &none, at(0)).is_some());
+    assert!(board.acquire(&request(3), &none, at(0)).is_some());
     assert!(directory.retry_misnamed(at(1000)));
     assert!(
         directory.doubtful().contains(&id("a")),
@@ -266,21 +266,21 @@
     let none = std::collections::HashSet::new();
     let mut board = board(&[entry("a", 1, Some(5))]);
     for number in 0..4 {
-        assert!(board.acquire(&ask(number), &none, at(0)).is_some());
+        assert!(board.acquire(&request(number), &none, at(0)).is_some());
     }
-    assert!(board.acquire(&ask(4), &none, at(0)).is_none());
+    assert!(board.acquire(&request(4), &none, at(0)).is_none());
     let again = rc::Rc::new(entry("a", 1, Some(6)));
     assert_eq!(board.set_owned(std::slice::from_ref(&again)), [id("a")]);
-    assert!(board.acquire(&ask(5), &none, at(0)).is_some());
+    assert!(board.acquire(&request(5), &none, at(0)).is_some());
     // What is given back of the run before adds no room.
     board.release(0);
-    assert_eq!(board.online_room(&service()), 3);
+    assert_eq!(board.free_online_slots(&service()), 3);
 }
 
 #[test]
 fn pauses_after_refusals_double_within_bounds_and_are_spread() {
     let mut rng = rand::rngs::SmallRng::seed_from_u64(7);
-    let mut refusals = backoff_marks::BackoffMarks::new(backoff_marks::BackoffRange {
+    let mut refusals = endpoint_backoff::EndpointBackoff::new(endpoint_backoff::BackoffRange {
         first: time::Duration::from_millis(60),
         last: time::Duration::from_millis(960),
         spread: 0.3,
@@ -288,7 +288,7 @@
     let mut now = 0;
     let mut longest = 0;
     for _ in 0..8 {
-        refusals.note(&id("a"), at(now), &mut rng);
+        refusals.record(&id("a"), at(now), &mut rng);
         let begun = now;
         while !refusals.expire(at(now)) {
             now += 1;
@@ -296,7 +296,7 @@
         longest = longest.max(now - begun);
     }
     assert!((900..=1250).contains(&longest), "{longest} ms");
-    let range = retry::PauseRange {
+    let range = retry::DelayRange {
         first: time::Duration::from_millis(100),
         last: time::Duration::from_millis(800),
     };
@@ -306,7 +306,7 @@
         (3, 800, 1200),
         (90, 800, 1200),
     ] {
-        let pause = retry::pause_after(earlier, &range, &mut rng).as_millis();
+        let pause = retry::backoff_delay(earlier, &range, &mut rng).as_millis();
         assert!(
             (least..=most).contains(&pause),
             "{pause} ms after {earlier}"
--- a/tests/explain.rs
+++ b/tests/explain.rs
@@ -62,8 +62,8 @@
         );
         line(10, &text)
     };
-    let attempt = |id: &str, why: &str| {
-        let text = format!("event=attempt request={id} outcome=unknown why=\"{why}\"");
+    let attempt = |id: &str, reason: &str| {
+        let text = format!("event=attempt request={id} outcome=unknown why=\"{reason}\"");
         line(9, &text)
     };
     let lines = [
@@ -106,7 +106,7 @@
     &[(13, "event=job_taken job=j due_ms=1777890018250"),
       (40, "event=results_committed job=j results=2")],
     Some("late: it waited or ran long"))]
-#[case::places(
+#[case::slots(
     &[(13, "event=item_run job=j end=\"Preempted\""),
       (40, "event=results_committed job=j results=2")],
     Some("late: its items lost places to online requests"))]
--- a/tests/state_copy.rs
+++ b/tests/state_snapshot.rs
@@ -4,7 +4,9 @@
 
 use jayhollow::serving::{
     route_table,
-    state_copy::{CopyShelf, IncomingState, PartOutcome, StatePart, StatePartAsk, PART_BYTES},
+    state_snapshot::{
+        IncomingSnapshot, PartOutcome, SnapshotCache, StatePart, StatePartRequest, PART_BYTES,
+    },
 };
 
 fn route(number: usize) -> route_table::Route {
@@ -46,11 +48,11 @@
 
 /// Adds parts until the state is whole; gives its version and the parts it took.
 fn transfer(
-    incoming: &mut IncomingState,
-    mut tell: impl FnMut(StatePartAsk) -> StatePart,
+    incoming: &mut IncomingSnapshot,
+    mut tell: impl FnMut(StatePartRequest) -> StatePart,
 ) -> (route_table::DesiredState, usize) {
     for count in 1..1000 {
-        match incoming.add(tell(incoming.next_ask())) {
+        match incoming.add(tell(incoming.next_request())) {
             PartOutcome::Added => {}
             PartOutcome::Whole(state) => return (state, count),
             other => panic!("part {count}: {other:?}"),
@@ -63,9 +65,9 @@
 #[case::small(3, 1)]
 #[case::large(4000, 30)]
 fn a_state_arrives_whole_in_few_parts(#[case] routes: usize, #[case] most: usize) {
-    let (shelf, newest) = (CopyShelf::default(), state(7, routes));
-    let tell = |ask| shelf.part(ask, &newest).expect("it can be encoded");
-    let (arrived, parts) = transfer(&mut IncomingState::default(), tell);
+    let (shelf, newest) = (SnapshotCache::default(), state(7, routes));
+    let tell = |request| shelf.part(request, &newest).expect("it can be encoded");
+    let (arrived, parts) = transfer(&mut IncomingSnapshot::default(), tell);
     assert_eq!(arrived.version, newest.version);
     assert_eq!(arrived.routes.len(), routes);
     assert_eq!(format!("{arrived:?}"), format!("{newest:?}"));
@@ -74,13 +76,13 @@
 
 #[test]
 fn a_transfer_ends_with_the_copy_that_it_began_with() {
-    let shelf = CopyShelf::default();
-    let mut incoming = IncomingState::default();
+    let shelf = SnapshotCache::default();
+    let mut incoming = IncomingSnapshot::default();
     let mut number = 7;
-    let tell = |ask| {
+    let tell = |request| {
         number += 1;
         shelf
-            .part(ask, &state(number, 2000))
+            .part(request, &state(number, 2000))
             .expect("it can be encoded")
     };
     let (arrived, parts) = transfer(&mut incoming, tell);
@@ -93,20 +95,22 @@
 
 #[test]
 fn a_transfer_goes_on_at_another_peer() {
-    let shelves = [CopyShelf::default(), CopyShelf::default()];
+    let shelves = [SnapshotCache::default(), SnapshotCache::default()];
     let newest = state(7, 2000);
-    let whole = transfer(&mut IncomingState::default(), |ask| {
-        shelves[0].part(ask, &newest).expect("it can be encoded")
+    let whole = transfer(&mut IncomingSnapshot::default(), |request| {
+        shelves[0]
+            .part(request, &newest)
+            .expect("it can be encoded")
     });
     // The second peer encodes the copy itself, when it is first asked.
     shelves[1]
-        .part(StatePartAsk::First, &newest)
+        .part(StatePartRequest::First, &newest)
         .expect("it can be encoded");
     let mut turn = 0;
-    let (arrived, parts) = transfer(&mut IncomingState::default(), |ask| {
+    let (arrived, parts) = transfer(&mut IncomingSnapshot::default(), |request| {
         turn += 1;
         let shelf = &shelves[turn % 2];
-        shelf.part(ask, &newest).expect("it can be encoded")
+        shelf.part(request, &newest).expect("it can be encoded")
     });
     assert_eq!(arrived.version, newest.version);
     assert_eq!(parts, whole.1, "no part is told twice");
@@ -114,23 +118,25 @@
 
 #[test]
 fn parts_of_another_copy_or_place_add_nothing() {
-    let shelf = CopyShelf::default();
+    let shelf = SnapshotCache::default();
     let newest = state(7, 2000);
-    let first = shelf.part(StatePartAsk::First, &newest).expect("a part");
+    let first = shelf
+        .part(StatePartRequest::First, &newest)
+        .expect("a part");
     let second = shelf
-        .part(StatePartAsk::Next(first.copy, PART_BYTES), &newest)
+        .part(StatePartRequest::Next(first.copy, PART_BYTES), &newest)
         .expect("a part");
-    let other = shelf.part(StatePartAsk::First, &state(8, 2000));
+    let other = shelf.part(StatePartRequest::First, &state(8, 2000));
     let other = other.expect("a part");
-    let mut incoming = IncomingState::default();
+    let mut incoming = IncomingSnapshot::default();
     assert!(matches!(incoming.add(first.clone()), PartOutcome::Added));
     for unfit in [first.clone(), other, third_of(&second)] {
         assert!(matches!(incoming.add(unfit), PartOutcome::Unfit(_)));
     }
-    let ask = StatePartAsk::Next(first.copy, PART_BYTES);
-    assert_eq!(incoming.next_ask(), ask, "it goes on where it was");
-    let (arrived, _) = transfer(&mut incoming, |ask| {
-        shelf.part(ask, &newest).expect("a part")
+    let request = StatePartRequest::Next(first.copy, PART_BYTES);
+    assert_eq!(incoming.next_request(), request, "it goes on where it was");
+    let (arrived, _) = transfer(&mut incoming, |request| {
+        shelf.part(request, &newest).expect("a part")
     });
     assert_eq!(arrived.version.0, 7);
 }
@@ -145,21 +151,23 @@
 
 #[test]
 fn a_damaged_state_is_refused_and_the_next_one_taken() {
-    let shelf = CopyShelf::default();
+    let shelf = SnapshotCache::default();
     let newest = state(7, 3);
-    let part = shelf.part(StatePartAsk::First, &newest).expect("a part");
+    let part = shelf
+        .part(StatePartRequest::First, &newest)
+        .expect("a part");
     // Some of these still inflate to a state, but to another one.
-    let damaged = (0..part.bytes.len()).map(|place| {
+    let damaged = (0..part.bytes.len()).map(|slot| {
         let mut damaged = part.clone();
-        damaged.bytes[place] ^= 1;
+        damaged.bytes[slot] ^= 1;
         damaged
     });
     let mut huge = part.clone();
     huge.copy.total = usize::MAX;
-    let mut incoming = IncomingState::default();
+    let mut incoming = IncomingSnapshot::default();
     for bad in damaged.chain([huge]) {
         assert!(matches!(incoming.add(bad), PartOutcome::Refused(_)));
-        assert_eq!(incoming.next_ask(), StatePartAsk::First);
+        assert_eq!(incoming.next_request(), StatePartRequest::First);
     }
     assert_eq!(version(&incoming.add(part)), Some(7));
 }
