--- a/tests/support/process.rs
+++ b/tests/support/process.rs
@@ -1,7 +1,7 @@
 //! Processes of a fleet under test.
 
 use std::{
-    fs,
+    ffi, fs,
     io::{self, BufRead as _},
     net, path, process,
     sync::mpsc,
@@ -45,7 +45,7 @@
             .append(true)
             .open(file.with_extension("log"))
             .expect("the log is opened");
-        let mut child = process::Command::new(program_path(program))
+        let mut child = process::Command::new(chosen_path(file, program))
             .arg("--config")
             .arg(file)
             .stdout(process::Stdio::piped())
@@ -123,6 +123,25 @@
     }
 }
 
+/// Folder with the programs of another build, for a fleet of two versions.
+const OTHER_BUILD_VARIABLE: &str = "JAYHOLLOW_TEST_OTHER_BUILD";
+
+/// Programs, or processes by name, that are taken from it, such as `gateway,dispatcher-0`.
+const OTHER_PROGRAMS_VARIABLE: &str = "JAYHOLLOW_TEST_OTHER_PROGRAMS";
+
+fn chosen_path(config: &path::Path, program: &str) -> path::PathBuf {
+    let own = path::Path::new(program_path(program));
+    let Ok(folder) = std::env::var(OTHER_BUILD_VARIABLE) else {
+        return own.to_owned();
+    };
+    let others = std::env::var(OTHER_PROGRAMS_VARIABLE).unwrap_or_default();
+    let is_other = |name| name == program || config.file_stem() == Some(ffi::OsStr::new(name));
+    match others.split(',').any(is_other) {
+        true => path::Path::new(&folder).join(own.file_name().expect("it is a file")),
+        false => own.to_owned(),
+    }
+}
+
 fn program_path(program: &str) -> &'static str {
     match program {
         "gateway" => env!("CARGO_BIN_EXE_jayhollow-gateway"),
