--- a/src/bench/placement.rs
+++ b/src/bench/placement.rs
@@ -20,7 +20,7 @@
     #[arg(long, default_value_t = 10)]
     pub traces: u64,
     /// Places of all endpoints.
-    #[arg(long, default_value_t = 144)]
+    #[arg(long = "places", default_value_t = 144)]
     pub slots: usize,
     /// Jobs a second, of ten items on the mean.
     #[arg(long, default_value_t = 1.03)]
