--- a/tests/crash_ledger.rs
+++ b/tests/crash_ledger.rs
@@ -1,4 +1,4 @@
-//! Which requests are held back as they crash endpoints, as plain values.
+//! Quarantine of requests that crash endpoints, tested on the ledger alone.
 
 use std::{collections, time};
 
@@ -25,7 +25,7 @@
 
 fn endpoint(number: u64) -> ids::EndpointRun {
     ids::EndpointRun {
-        endpoint: format!("e{number}").parse().expect("a name"),
+        endpoint: format!("e{number}").parse().expect("the name is valid"),
         started: Some(ids::StartTime(number)),
     }
 }
@@ -37,7 +37,7 @@
     }
 }
 
-/// Notes that an endpoint ended under a request that was sent a second before.
+/// Records that an endpoint crashed during a request that was sent one second earlier.
 fn crash(ledger: &mut CrashLedger, name: &str, number: u64, second: u64) -> CrashOutcome {
     let run = CrashedRun {
         digest: digest(name),
@@ -47,7 +47,8 @@
     ledger.record_crash(&run, at(second))
 }
 
-/// A ledger in which a request crashed so many endpoints, one a second from second 1 on.
+/// Creates a ledger in which a request crashed `count` endpoints, one per second from second
+/// 1 on.
 fn crashed(name: &str, count: u64) -> CrashLedger {
     let mut ledger = CrashLedger::default();
     for number in 1..=count {
@@ -62,17 +63,20 @@
 }
 
 #[test]
-fn a_request_is_held_back_after_its_third_endpoint() {
+fn third_crash_quarantines_a_request() {
     let ledger = crashed("x", 2);
     assert!(!is_quarantined(&ledger, "x", 3));
     let ledger = crashed("x", 3);
     assert!(is_quarantined(&ledger, "x", 3));
-    assert!(!is_quarantined(&ledger, "y", 3), "another request is free");
+    assert!(
+        !is_quarantined(&ledger, "y", 3),
+        "another request is allowed"
+    );
 }
 
-/// Several of its tries were at work at one endpoint: it ended once.
+/// Several attempts of a request may run on one endpoint when it crashes, which is one crash.
 #[test]
-fn an_endpoint_that_ends_counts_once() {
+fn one_crash_of_an_endpoint_counts_once() {
     let mut ledger = crashed("x", 1);
     let run = CrashedRun {
         digest: digest("x"),
@@ -86,28 +90,29 @@
     assert!(!is_quarantined(&ledger, "x", 6));
 }
 
-/// An endpoint was back, and crashed again, before its next start was listed: that
-/// counted as one crash, and the request went to four endpoints more.
+/// An endpoint may return and crash again before its next start is listed. If that counted as
+/// one crash, the request would be sent to more endpoints than `MAX_CRASHES` allows: it went
+/// to four more.
 #[test]
-fn an_endpoint_that_is_back_before_it_is_listed_counts_again() {
+fn repeated_crash_before_relisting_counts_again() {
     let mut ledger = crashed("x", 1);
     assert_eq!(crash(&mut ledger, "x", 1, 4), CrashOutcome::Counted(2));
-    // Another process saw the same second crash.
+    // Another process observed the same second crash.
     let mut peer = crashed("x", 1);
     assert_eq!(crash(&mut peer, "x", 1, 4), CrashOutcome::Counted(2));
     for update in peer.snapshot(at(5)) {
-        assert!(!ledger.merge(update, at(5)), "it is the same");
+        assert!(!ledger.merge(update, at(5)), "the crash is known already");
     }
     assert_eq!(crash(&mut ledger, "x", 1, 9), CrashOutcome::Counted(3));
     assert!(is_quarantined(&ledger, "x", 9));
 }
 
-/// Requests of all callers were held back: an endpoint had ended, and for a moment its
-/// address still took connections. Each request that was sent there in that moment was
-/// blamed, as if the endpoint had been back. Found by the soak, seed 9010 of 30 s: five
-/// crashes of one endpoint within 0.3 s, which is away for 1.5 s.
+/// The address of a crashed endpoint may still accept connections for a moment. If each
+/// request sent to it in that time were suspected, as if the endpoint had been back, requests
+/// of all callers would be quarantined. Seen with one endpoint that was unavailable for 1.5 s
+/// and got five recorded crashes within 0.3 s.
 #[test]
-fn what_is_sent_to_an_endpoint_that_is_known_to_have_ended_is_not_blamed() {
+fn request_sent_to_a_crashed_endpoint_is_not_suspected() {
     let mut ledger = crashed("x", 1);
     let sent = |name: &str, micros: u64| CrashedRun {
         digest: digest(name),
@@ -122,15 +127,16 @@
         }
     }
     assert!(!is_quarantined(&ledger, "x", 2));
-    // What was at work there when it ended is blamed, however late it is looked at.
+    // A request that ran there when the endpoint crashed is suspected, however late that is
+    // noticed.
     let outcome = ledger.record_crash(&sent("z", 0), at(2));
     assert_eq!(outcome, CrashOutcome::Counted(1));
 }
 
 #[test]
-fn a_request_that_is_served_is_cleared_for_all() {
+fn served_request_is_cleared_at_all_processes() {
     let mut ledger = crashed("x", 3);
-    let behind = ledger.snapshot(at(3));
+    let outdated = ledger.snapshot(at(3));
     assert!(ledger.record_served(digest("x"), at(4)));
     assert!(!is_quarantined(&ledger, "x", 4));
     let mut peer = crashed("x", 3);
@@ -138,61 +144,65 @@
         assert!(peer.merge(update, at(4)));
     }
     assert!(!is_quarantined(&peer, "x", 4));
-    // A process that has not heard of it does not bring the crashes back.
-    for update in behind {
+    // Updates from a process that does not know of the clearing do not restore the crashes.
+    for update in outdated {
         assert!(!ledger.merge(update, at(5)));
     }
     assert!(!is_quarantined(&ledger, "x", 5));
 }
 
-/// A request that comes often is at work at each endpoint that loses power with its
-/// rack. To hold it back would make an outage of the loss of three endpoints.
+/// A frequent request runs on every endpoint of a rack that loses power. Quarantining it
+/// would turn the loss of three endpoints into an outage.
 #[test]
-fn a_request_that_is_served_often_is_not_blamed_for_endpoints_lost_together() {
+fn frequently_served_request_is_not_suspected_of_joint_crashes() {
     let mut ledger = CrashLedger::default();
     ledger.record_served(digest("x"), at(1));
     for number in 1..9 {
         assert_eq!(crash(&mut ledger, "x", number, 5), CrashOutcome::Excused);
     }
     assert!(!is_quarantined(&ledger, "x", 6));
-    // Nor for those that end one after the other under another request.
+    // Nor is it suspected if endpoints crash one by one because of another request.
     for number in 9..15 {
         let outcome = crash(&mut ledger, "x", number, 2 * number);
         assert_eq!(outcome, CrashOutcome::Excused);
     }
-    // But once it is served no more and endpoints still end under it, something changed.
+    // Once it is no longer served and endpoints still crash during it, it is suspected.
     for number in 15..18 {
         crash(&mut ledger, "x", number, 2 * number + 10);
     }
     assert!(is_quarantined(&ledger, "x", 45));
 }
 
-/// Three endpoints ended within a quarter of a second, each with the same new request at
-/// work, that nobody had served yet. Two callers of it were refused for ten minutes,
-/// though its other runs were served and cleared it 50 ms later (soak, seed 2 of 12 s).
+/// Three endpoints may crash within a quarter of a second while each runs the same new
+/// request, which was never served yet. Without the delay, two callers were refused for ten
+/// minutes, although other runs of the request were served and cleared it 50 ms later.
 #[test]
-fn a_request_that_is_blamed_just_now_is_judged_a_moment_later() {
+fn verdict_on_a_new_suspect_is_delayed() {
     let mut ledger = CrashLedger::default();
-    let settle = |ledger: &CrashLedger, now| ledger.verdict_delay(digest("r"), now);
-    assert!(settle(&ledger, at(1)).is_zero(), "nothing is known of it");
+    let delay = |ledger: &CrashLedger, now| ledger.verdict_delay(digest("r"), now);
+    assert!(
+        delay(&ledger, at(1)).is_zero(),
+        "the request is not a suspect"
+    );
     for number in 0..3 {
-        assert!(settle(&ledger, at(1)).is_zero());
+        assert!(delay(&ledger, at(1)).is_zero());
         crash(&mut ledger, "r", number, 1);
     }
-    assert_eq!(settle(&ledger, at(1)), time::Duration::from_millis(500));
+    assert_eq!(delay(&ledger, at(1)), time::Duration::from_millis(500));
     assert!(
-        settle(&ledger, at(2)).is_zero(),
-        "it is refused at once from then on"
+        delay(&ledger, at(2)).is_zero(),
+        "the request is refused without a delay from then on"
     );
     ledger.record_served(digest("r"), at(1));
-    assert!(settle(&ledger, at(1)).is_zero());
+    assert!(delay(&ledger, at(1)).is_zero());
 }
 
-/// A gateway had just started and seen nothing served. Three endpoints crashed in its
-/// first seconds, and it had all others hold a request back that they serve all the
-/// while. Found by the soak, seed 9352 of 25 s: three callers were refused.
+/// A gateway that has just started has seen no request served. If three endpoints crash in
+/// its first seconds, it reports a request that the other processes serve all the time.
+/// Unless these exonerate it, all processes quarantine the request; three callers were
+/// refused that way.
 #[test]
-fn who_saw_a_request_served_lately_clears_it_of_what_others_blame_it_for() {
+fn recently_served_request_is_exonerated_of_reported_crashes() {
     let mut started = crashed("x", 3);
     assert!(is_quarantined(&started, "x", 3));
     let mut other = CrashLedger::default();
@@ -205,8 +215,11 @@
     for update in other.snapshot(at(3)) {
         assert!(started.merge(update, at(3)));
     }
-    assert!(!is_quarantined(&started, "x", 3), "the word comes back");
-    // Who saw nothing of it, or long ago, vouches for nothing.
+    assert!(
+        !is_quarantined(&started, "x", 3),
+        "the clearing reaches the reporter"
+    );
+    // A process that did not see the request served, or only saw another one, clears nothing.
     assert!(!CrashLedger::default().exonerate(digest("x"), at(3)));
     let mut late = crashed("x", 3);
     late.record_served(digest("y"), at(3));
@@ -214,7 +227,7 @@
 }
 
 #[test]
-fn each_trial_that_fails_is_followed_by_a_longer_time_and_few_are_made() {
+fn failed_trials_lengthen_the_quarantine_and_are_bounded() {
     let mut ledger = crashed("x", MAX_CRASHES as u64);
     let mut now = 3;
     let mut trials = 0;
@@ -224,12 +237,18 @@
         let CrashVerdict::Quarantined(left) = verdict else {
             assert_eq!(verdict, CrashVerdict::Trial);
             trials += 1;
-            assert!(is_quarantined(&ledger, "x", now), "one trial at a time");
+            assert!(
+                is_quarantined(&ledger, "x", now),
+                "only one trial runs at a time"
+            );
             crash(&mut ledger, "x", 100 + trials, now + 1);
             now += 1;
             continue;
         };
-        assert!(left.as_secs() >= before, "it is no shorter than the last");
+        assert!(
+            left.as_secs() >= before,
+            "the quarantine is no shorter than the last one"
+        );
         before = left.as_secs();
         now += left.as_secs();
     }
@@ -237,10 +256,10 @@
 }
 
 #[test]
-fn a_trial_that_is_served_frees_the_request() {
+fn served_trial_ends_the_quarantine() {
     let mut ledger = crashed("x", 3);
     let CrashVerdict::Quarantined(left) = ledger.verdict(digest("x"), at(3)) else {
-        panic!("it is held back");
+        panic!("the request is quarantined");
     };
     let after = 3 + left.as_secs();
     assert_eq!(ledger.admit(digest("x"), at(after)), CrashVerdict::Trial);
@@ -251,13 +270,13 @@
     );
 }
 
-/// Two processes forget a record at moments of their own; none gets it back for a while
-/// from the one that is behind.
+/// Two processes remove a record at slightly different times; neither restores it to the
+/// other.
 #[test]
-fn what_is_forgotten_does_not_go_round() {
+fn expired_records_are_not_restored_by_peers() {
     let (mut early, mut late) = (crashed("x", 1), CrashLedger::default());
     for update in early.snapshot(at(1)) {
-        // The way took a second, which its age does not count.
+        // The transfer took a second, which the age of the update does not include.
         late.merge(update, at(2));
     }
     for second in (1..120 * MINUTE).step_by(1) {
@@ -274,7 +293,7 @@
 }
 
 #[test]
-fn it_is_bounded_and_what_is_held_back_is_kept_longest() {
+fn ledger_is_bounded_and_keeps_quarantined_requests_longest() {
     let mut ledger = crashed("x", 3);
     for number in 0..5000 {
         crash(&mut ledger, &format!("other-{number}"), number, 10 + number);
@@ -289,23 +308,24 @@
 }
 
 #[test]
-fn a_digest_is_read_as_it_is_written() {
+fn digest_round_trips_through_text() {
     let written = digest("x").to_string();
     assert_eq!(written.len(), 32);
     assert_eq!(written.parse(), Ok(digest("x")));
     assert_ne!(digest("x"), digest("y"));
-    // What ends one part does not begin the next.
+    // The boundary between two parts is included in the digest.
     let [left, right] =
         [("ab", "c"), ("a", "bc")].map(|(host, uri)| ids::RequestDigest::of("GET", host, uri, b""));
     assert_ne!(left, right);
     assert!("zz".parse::<ids::RequestDigest>().is_err());
 }
 
-/// What a process may know of a request: a part of its crashes, endpoint n in second n.
+/// Generates an update with a subset of a request's crashes; endpoint `n` crashed in second
+/// `n`.
 fn update() -> impl Strategy<Value = CrashUpdate> {
     let numbers = proptest::collection::btree_set(0..6_u64, 1..5);
     (0..3_usize, numbers, any::<bool>()).prop_map(|(name, numbers, clears)| {
-        let last = numbers.last().copied().expect("there is one");
+        let last = numbers.last().copied().expect("the set is not empty");
         let crashes: collections::BTreeSet<_> = numbers.into_iter().map(crash_id).collect();
         let cleared = match clears {
             true => crashes.clone(),
@@ -321,9 +341,10 @@
 }
 
 proptest! {
-    /// Whoever is told what, in whatever order and however often: all come to know the same.
+    /// Guards against ledgers that differ after the same updates, merged in another order or more
+    /// than once.
     #[test]
-    fn the_order_of_news_does_not_matter(all in proptest::collection::vec(update(), 1..12)) {
+    fn merge_order_does_not_matter(all in proptest::collection::vec(update(), 1..12)) {
         let [mut one, mut other] = [CrashLedger::default(), CrashLedger::default()];
         for update in &all {
             one.merge(update.clone(), at(200));
@@ -338,6 +359,6 @@
         }
         let all_again = one.snapshot(at(200));
         let is_new = all_again.into_iter().any(|update| other.merge(update, at(200)));
-        prop_assert!(!is_new, "nothing is new any more");
+        prop_assert!(!is_new, "a second merge changes nothing");
     }
 }
--- a/tests/endpoint_health.rs
+++ b/tests/endpoint_health.rs
@@ -1,4 +1,4 @@
-//! Which endpoints are left out for failing, as plain values.
+//! Ejection of failing endpoints, tested on the tracker alone.
 
 use std::time;
 
@@ -11,107 +11,120 @@
 use rstest::rstest;
 
 fn endpoint() -> ids::EndpointId {
-    "e".parse().expect("a name")
+    "e".parse().expect("the name is valid")
 }
 
 fn instance(name: &str) -> ids::InstanceId {
-    name.parse().expect("a name")
+    name.parse().expect("the name is valid")
 }
 
-/// Share of the time that an endpoint is out which fails so often at ten requests a second.
-fn share_out(failing: f64) -> f64 {
+/// Returns the fraction of time for which an endpoint with this failure rate is ejected, at
+/// ten requests per second.
+fn ejected_fraction(failure_rate: f64) -> f64 {
     let mut rng = rngs::SmallRng::seed_from_u64(3);
-    let mut board = HealthTracker::default();
+    let mut tracker = HealthTracker::default();
     let id = endpoint();
-    let mut out = 0;
-    const LOOKS: u64 = 20_000;
-    for look in 0..LOOKS {
-        let now = clock::MonotonicTime(1_000_000 + look * 100_000);
-        if board.is_ejected(&id, now) {
-            out += 1;
-        } else if rng.random_bool(failing) {
-            board.record_failure(&id, now);
+    let mut ejected = 0;
+    const PROBES: u64 = 20_000;
+    for probe in 0..PROBES {
+        let now = clock::MonotonicTime(1_000_000 + probe * 100_000);
+        if tracker.is_ejected(&id, now) {
+            ejected += 1;
+        } else if rng.random_bool(failure_rate) {
+            tracker.record_failure(&id, now);
         } else {
-            board.record_success(&id);
+            tracker.record_success(&id);
         }
     }
-    f64::from(out) / LOOKS as f64
+    f64::from(ejected) / PROBES as f64
 }
 
 #[test]
-fn three_failures_in_a_row_eject_and_one_more_after_the_return() {
-    let mut board = HealthTracker::default();
+fn three_consecutive_failures_eject_and_one_more_ejects_again() {
+    let mut tracker = HealthTracker::default();
     let (id, now) = (endpoint(), clock::MonotonicTime(1));
-    board.record_failure(&id, now);
-    board.record_failure(&id, now);
-    assert!(!board.is_ejected(&id, now));
-    board.record_failure(&id, now);
-    assert!(board.is_ejected(&id, now));
+    tracker.record_failure(&id, now);
+    tracker.record_failure(&id, now);
+    assert!(!tracker.is_ejected(&id, now));
+    tracker.record_failure(&id, now);
+    assert!(tracker.is_ejected(&id, now));
     let later = now + time::Duration::from_secs(3);
-    assert!(!board.is_ejected(&id, later), "it is tried again");
-    board.record_failure(&id, later);
-    assert!(board.is_ejected(&id, later));
+    assert!(
+        !tracker.is_ejected(&id, later),
+        "the endpoint is used again"
+    );
+    tracker.record_failure(&id, later);
+    assert!(tracker.is_ejected(&id, later));
 }
 
 #[test]
-fn the_first_time_out_is_short_and_doubles() {
-    let mut board = HealthTracker::default();
+fn first_ejection_is_short_and_doubles() {
+    let mut tracker = HealthTracker::default();
     let (id, mut now) = (endpoint(), clock::MonotonicTime(1));
-    for out_ms in [500, 1000, 2000, 4000] {
-        board.record_silence(&id, now);
-        let nearly = now + time::Duration::from_millis(out_ms - 1);
-        assert!(board.is_ejected(&id, nearly), "out for {out_ms} ms");
-        now = now + time::Duration::from_millis(out_ms);
-        assert!(!board.is_ejected(&id, now), "back after {out_ms} ms");
+    for ejected_ms in [500, 1000, 2000, 4000] {
+        tracker.record_silence(&id, now);
+        let nearly = now + time::Duration::from_millis(ejected_ms - 1);
+        assert!(
+            tracker.is_ejected(&id, nearly),
+            "ejected for {ejected_ms} ms"
+        );
+        now = now + time::Duration::from_millis(ejected_ms);
+        assert!(
+            !tracker.is_ejected(&id, now),
+            "returned after {ejected_ms} ms"
+        );
     }
 }
 
 #[rstest]
-#[case::dead(1.0, 0.9, 1.0)]
-#[case::fails_four_in_ten(0.4, 0.6, 1.0)]
-#[case::loses_one_in_twenty(0.05, 0.0, 0.02)]
-#[case::sound(0.0, 0.0, 0.0)]
-fn an_endpoint_is_out_by_how_often_it_fails(
-    #[case] failing: f64,
+#[case::unreachable(1.0, 0.9, 1.0)]
+#[case::forty_percent_failures(0.4, 0.6, 1.0)]
+#[case::five_percent_failures(0.05, 0.0, 0.02)]
+#[case::healthy(0.0, 0.0, 0.0)]
+fn ejected_time_follows_the_failure_rate(
+    #[case] failure_rate: f64,
     #[case] least: f64,
     #[case] most: f64,
 ) {
-    let share = share_out(failing);
+    let share = ejected_fraction(failure_rate);
     assert!(
         (least..=most).contains(&share),
-        "out for {share} of the time"
+        "ejected for {share} of the time"
     );
 }
 
 #[test]
-fn one_reporter_ejects_nothing_and_two_do() {
-    let mut board = HealthTracker::default();
+fn reports_eject_only_from_two_reporters() {
+    let mut tracker = HealthTracker::default();
     let (id, now) = (endpoint(), clock::MonotonicTime(1));
     let report = |reporter: &str| FailureReport {
         reporter: instance(reporter),
         is_silent: true,
     };
     for _ in 0..20 {
-        board.record_report(&id, &report("g1"), now);
+        tracker.record_report(&id, &report("g1"), now);
     }
-    assert!(!board.is_ejected(&id, now), "its own path may be cut");
-    board.record_report(&id, &report("g2"), now);
-    assert!(board.is_ejected(&id, now));
+    assert!(
+        !tracker.is_ejected(&id, now),
+        "the reporter may have lost its own connection"
+    );
+    tracker.record_report(&id, &report("g2"), now);
+    assert!(tracker.is_ejected(&id, now));
 }
 
 #[test]
-fn a_success_of_another_clears_what_one_reports() {
-    let mut board = HealthTracker::default();
+fn success_clears_the_reporters() {
+    let mut tracker = HealthTracker::default();
     let (id, now) = (endpoint(), clock::MonotonicTime(1));
     for reporter in ["g1", "g2", "g1", "g2", "g1", "g2"] {
         let report = FailureReport {
             reporter: instance(reporter),
             is_silent: false,
         };
-        board.record_report(&id, &report, now);
+        tracker.record_report(&id, &report, now);
         for _ in 0..3 {
-            board.record_success(&id);
+            tracker.record_success(&id);
         }
     }
-    assert!(!board.is_ejected(&id, now));
+    assert!(!tracker.is_ejected(&id, now));
 }
--- a/tests/item_order.rs
+++ b/tests/item_order.rs
@@ -1,4 +1,4 @@
-//! Which batch item starts next, as plain values and on traces of places.
+//! Order in which batch items start, tested on single items and on simulated traces.
 
 use jayhollow::{
     bench::placement,
@@ -6,7 +6,7 @@
 };
 
 #[test]
-fn what_cannot_be_in_time_goes_last() {
+fn infeasible_items_go_last() {
     let item = |due_ms, remaining_ms| ItemTiming {
         due_ms,
         remaining_ms,
@@ -20,16 +20,20 @@
 }
 
 #[test]
-fn the_rest_of_a_span_is_told_from_the_mean_and_never_nothing() {
+fn remaining_time_follows_the_mean_and_is_never_zero() {
     let mut estimate = DurationEstimate::default();
-    assert_eq!(estimate.remaining_ms(500), 0, "nothing is known yet");
+    assert_eq!(estimate.remaining_ms(500), 0, "no duration is recorded");
     estimate.record(5_000);
-    assert_eq!(estimate.remaining_ms(2_000), 1_500, "half of what is left");
+    assert_eq!(
+        estimate.remaining_ms(2_000),
+        1_500,
+        "half of the remaining time"
+    );
     assert_eq!(estimate.remaining_ms(9_000), 250);
 }
 
 #[test]
-fn over_capacity_far_more_items_are_in_time() {
+fn feasible_first_keeps_far_more_items_on_time_under_overload() {
     let flags = placement::PlacementFlags::default();
     let share = |policy| placement::share_in_time(&flags, policy);
     let due_first = share(OrderPolicy::DueFirst);
@@ -43,5 +47,8 @@
         ..flags
     };
     let share = placement::share_in_time(&calm, OrderPolicy::FeasibleFirst);
-    assert!(share > 0.999, "{share} of a calm day's items");
+    assert!(
+        share > 0.999,
+        "{share} of the items without overload are on time"
+    );
 }
--- a/tests/limit_model.rs
+++ b/tests/limit_model.rs
@@ -1,8 +1,8 @@
-//! Every run of a small fleet up to a number of steps: three gateways and two keepers of
-//! one limit, over the decision code of the product.
+//! Exhaustive exploration of a small fleet up to a number of steps: three gateways and two
+//! quota servers of one limit, running the decision code of the product.
 //!
-//! Each step lasts a second and has one of four cuts, one of six events, and callers
-//! that take all that there is, or nothing. Nothing is drawn by chance.
+//! Each step lasts a second and combines one of four partitions, one of six events, and
+//! callers that take either all available tokens or none. Nothing is left to chance.
 
 use std::{cell, time};
 
@@ -18,16 +18,16 @@
 use rand::{rngs, SeedableRng as _};
 
 const GATEWAYS: usize = 3;
-const KEEPERS: usize = 2;
-/// Steps of the runs with the tests; more by the environment: `LIMIT_MODEL_STEPS=4`.
+const QUOTA_SERVERS: usize = 2;
+/// Number of steps by default; `LIMIT_MODEL_STEPS=4` sets another one.
 const STEPS: usize = 3;
-/// Time without faults before the first step, in which pools fill.
+/// Time without faults before the first step, in which the pools fill.
 const WARM_UP_MS: u64 = 4_000;
 const STEP_MS: u64 = 1_000;
 const TICK_MS: u64 = 250;
 
-/// Which processes stand on the other side of a cut: gateways, then keepers.
-const CUTS: [[bool; GATEWAYS + KEEPERS]; 4] = [
+/// Side of each partition that a process is on: gateways first, then quota servers.
+const PARTITIONS: [[bool; GATEWAYS + QUOTA_SERVERS]; 4] = [
     [false, false, false, false, false],
     [true, false, false, true, false],
     [true, true, false, false, true],
@@ -37,31 +37,31 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum StepEvent {
     Nothing,
-    KeeperRestarts,
+    QuotaServerRestarts,
     GatewayRestarts,
-    /// A keeper stands still; what was sent to it comes when it goes on.
-    KeeperFreezes,
-    /// Deposits come a step later.
+    /// A quota server is suspended; messages to it are processed when it resumes.
+    QuotaServerFreezes,
+    /// Deposits arrive one step late.
     DepositsAreLate,
-    /// Deposits come twice.
+    /// Deposits arrive twice.
     DepositsAreRepeated,
 }
 
 const EVENTS: [StepEvent; 6] = [
     StepEvent::Nothing,
-    StepEvent::KeeperRestarts,
+    StepEvent::QuotaServerRestarts,
     StepEvent::GatewayRestarts,
-    StepEvent::KeeperFreezes,
+    StepEvent::QuotaServerFreezes,
     StepEvent::DepositsAreLate,
     StepEvent::DepositsAreRepeated,
 ];
 
-/// What the model does wrong, to show that it is noticed.
+/// Defect injected into the model, to show that the exploration detects it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum SeededFault {
+enum InjectedDefect {
     None,
-    /// A gateway makes a deposit that may have arrived once more.
-    DepositsAgain,
+    /// A gateway repeats a deposit that may have arrived.
+    RepeatedDeposits,
 }
 
 #[derive(Clone)]
@@ -75,24 +75,24 @@
 struct FleetState {
     now_ms: u64,
     gateways: Vec<GatewayState>,
-    boards: Vec<PoolTable>,
-    /// Deposits on their way, with the keepers that they go to.
-    held: Vec<(usize, PoolDeposit)>,
+    tables: Vec<PoolTable>,
+    /// Deposits in flight, each with the quota server that it goes to.
+    in_flight: Vec<(usize, PoolDeposit)>,
     spent: u32,
 }
 
 struct FleetModel {
     limit: RateLimit,
     tolerance: LimitTolerance,
-    fault: SeededFault,
+    defect: InjectedDefect,
     runs: cell::Cell<u64>,
-    worst: cell::Cell<u32>,
+    most_spent: cell::Cell<u32>,
 }
 
-fn keeper_id(quota_server: usize) -> ids::InstanceId {
+fn quota_server_id(quota_server: usize) -> ids::InstanceId {
     format!("d-{quota_server}")
         .parse()
-        .expect("it is an identifier")
+        .expect("the identifier is valid")
 }
 
 fn fresh_gateway(seed: u64) -> GatewayState {
@@ -110,7 +110,7 @@
 }
 
 impl FleetModel {
-    fn new(steps: usize, fault: SeededFault) -> Self {
+    fn new(steps: usize, defect: InjectedDefect) -> Self {
         Self {
             limit: RateLimit::new(40.0, 40.0).expect("the rate is positive"),
             tolerance: LimitTolerance {
@@ -118,65 +118,73 @@
                 overage: 0.1,
                 slack: 20.0,
             },
-            fault,
+            defect,
             runs: cell::Cell::new(0),
-            worst: cell::Cell::new(0),
+            most_spent: cell::Cell::new(0),
         }
     }
 
-    fn board(&self, quota_server: usize, now: MonotonicTime) -> PoolTable {
-        PoolTable::new(keeper_id(quota_server), self.tolerance, now)
+    fn new_table(&self, quota_server: usize, now: MonotonicTime) -> PoolTable {
+        PoolTable::new(quota_server_id(quota_server), self.tolerance, now)
     }
 
     fn begin(&self) -> FleetState {
         let mut state = FleetState {
             now_ms: 0,
             gateways: (0..GATEWAYS).map(|g| fresh_gateway(g as u64)).collect(),
-            boards: Vec::new(),
-            held: Vec::new(),
+            tables: Vec::new(),
+            in_flight: Vec::new(),
             spent: 0,
         };
-        state.boards = (0..KEEPERS).map(|k| self.board(k, state.now())).collect();
+        state.tables = (0..QUOTA_SERVERS)
+            .map(|k| self.new_table(k, state.now()))
+            .collect();
         while state.now_ms < WARM_UP_MS {
-            self.tick(&mut state, &CUTS[0], StepEvent::Nothing, false);
+            self.tick(&mut state, &PARTITIONS[0], StepEvent::Nothing, false);
         }
         state
     }
 
-    /// The keepers on the side of a process.
-    fn keepers_beside(cut: &[bool; GATEWAYS + KEEPERS], process: usize) -> Vec<ids::InstanceId> {
-        let beside = (0..KEEPERS).filter(|k| cut[GATEWAYS + k] == cut[process]);
-        beside.map(keeper_id).collect()
+    /// Returns the quota servers on the same side of the partition as a process.
+    fn reachable_quota_servers(
+        partition: &[bool; GATEWAYS + QUOTA_SERVERS],
+        process: usize,
+    ) -> Vec<ids::InstanceId> {
+        let reachable =
+            (0..QUOTA_SERVERS).filter(|k| partition[GATEWAYS + k] == partition[process]);
+        reachable.map(quota_server_id).collect()
     }
 
     fn tick(
         &self,
         state: &mut FleetState,
-        cut: &[bool; GATEWAYS + KEEPERS],
+        partition: &[bool; GATEWAYS + QUOTA_SERVERS],
         event: StepEvent,
-        is_hot: bool,
+        is_saturated: bool,
     ) {
         state.now_ms += TICK_MS;
         let now = state.now();
-        for quota_server in 0..KEEPERS {
-            let quota_servers = Self::keepers_beside(cut, GATEWAYS + quota_server);
-            state.boards[quota_server].set_quota_servers(&quota_servers, |_| Some(self.limit), now);
+        for quota_server in 0..QUOTA_SERVERS {
+            let quota_servers = Self::reachable_quota_servers(partition, GATEWAYS + quota_server);
+            state.tables[quota_server].set_quota_servers(&quota_servers, |_| Some(self.limit), now);
         }
         for gateway in 0..GATEWAYS {
-            let quota_servers = Self::keepers_beside(cut, gateway);
+            let quota_servers = Self::reachable_quota_servers(partition, gateway);
             state.gateways[gateway]
                 .shares
                 .set_quota_servers(&quota_servers, now);
-            for quota_server in 0..KEEPERS {
-                if cut[GATEWAYS + quota_server] == cut[gateway] {
+            for quota_server in 0..QUOTA_SERVERS {
+                if partition[GATEWAYS + quota_server] == partition[gateway] {
                     self.deposit(
                         state,
                         (gateway, quota_server),
                         QuotaServerView::of(&quota_servers),
                         event,
                     );
-                    if is_hot && !(event == StepEvent::KeeperFreezes && quota_server == 0) {
-                        self.draw(state, quota_server);
+                    if is_saturated
+                        && !(event == StepEvent::QuotaServerFreezes && quota_server == 0)
+                    {
+                        self.request_tokens(state, quota_server);
                     }
                 }
             }
@@ -194,7 +202,7 @@
         let sender = &mut state.gateways[gateway];
         let Some(due) = sender
             .shares
-            .take(&keeper_id(quota_server), now, &mut sender.rng)
+            .take(&quota_server_id(quota_server), now, &mut sender.rng)
         else {
             return;
         };
@@ -205,26 +213,26 @@
             view,
             stamp: now,
         };
-        if self.fault == SeededFault::DepositsAgain {
-            sender.shares.put_back(&keeper_id(quota_server), &due);
+        if self.defect == InjectedDefect::RepeatedDeposits {
+            sender.shares.put_back(&quota_server_id(quota_server), &due);
         }
-        let is_frozen = event == StepEvent::KeeperFreezes && quota_server == 0;
+        let is_frozen = event == StepEvent::QuotaServerFreezes && quota_server == 0;
         if is_frozen || event == StepEvent::DepositsAreLate {
-            state.held.push((quota_server, deposit));
+            state.in_flight.push((quota_server, deposit));
             return;
         }
-        state.boards[quota_server].deposit(&deposit, now);
+        state.tables[quota_server].deposit(&deposit, now);
         if event == StepEvent::DepositsAreRepeated {
-            state.boards[quota_server].deposit(&deposit, now);
-            state.held.push((quota_server, deposit));
+            state.tables[quota_server].deposit(&deposit, now);
+            state.in_flight.push((quota_server, deposit));
         }
     }
 
-    fn draw(&self, state: &mut FleetState, quota_server: usize) {
-        let workspace = "w".parse().expect("it is an identifier");
+    fn request_tokens(&self, state: &mut FleetState, quota_server: usize) {
+        let workspace = "w".parse().expect("the identifier is valid");
         let now = state.now();
-        let drawn = state.boards[quota_server].grant(&workspace, &self.limit, 10_000, now);
-        if let TokenGrant::Tokens(count) = drawn {
+        let grant = state.tables[quota_server].grant(&workspace, &self.limit, 10_000, now);
+        if let TokenGrant::Tokens(count) = grant {
             state.spent += count;
         }
     }
@@ -232,35 +240,35 @@
     fn step(
         &self,
         state: &mut FleetState,
-        cut: &[bool; GATEWAYS + KEEPERS],
+        partition: &[bool; GATEWAYS + QUOTA_SERVERS],
         event: StepEvent,
-        is_hot: bool,
+        is_saturated: bool,
     ) {
         let now = state.now();
-        for (quota_server, deposit) in std::mem::take(&mut state.held) {
-            state.boards[quota_server].deposit(&deposit, now);
+        for (quota_server, deposit) in std::mem::take(&mut state.in_flight) {
+            state.tables[quota_server].deposit(&deposit, now);
         }
         match event {
-            StepEvent::KeeperRestarts => state.boards[0] = self.board(0, now),
+            StepEvent::QuotaServerRestarts => state.tables[0] = self.new_table(0, now),
             StepEvent::GatewayRestarts => state.gateways[0] = fresh_gateway(7),
             _ => {}
         }
         for _ in 0..STEP_MS / TICK_MS {
-            self.tick(state, cut, event, is_hot);
+            self.tick(state, partition, event, is_saturated);
         }
     }
 
-    /// Plays all runs from a state on.
+    /// Explores all runs from a state.
     fn explore(&self, state: &FleetState, steps: usize) {
-        self.worst.set(self.worst.get().max(state.spent));
+        self.most_spent.set(self.most_spent.get().max(state.spent));
         if steps == 0 {
             return self.runs.set(self.runs.get() + 1);
         }
-        for cut in &CUTS {
+        for partition in &PARTITIONS {
             for event in EVENTS {
-                for is_hot in [true, false] {
+                for is_saturated in [true, false] {
                     let mut next = state.clone();
-                    self.step(&mut next, cut, event, is_hot);
+                    self.step(&mut next, partition, event, is_saturated);
                     self.explore(&next, steps - 1);
                 }
             }
@@ -272,32 +280,34 @@
         println!(
             "steps={steps} runs={} most_spent={} bound={:.0}",
             self.runs.get(),
-            self.worst.get(),
+            self.most_spent.get(),
             self.tolerance.bound(&self.limit)
         );
     }
 }
 
 fn steps() -> usize {
-    let named = std::env::var("LIMIT_MODEL_STEPS").ok();
-    named.and_then(|steps| steps.parse().ok()).unwrap_or(STEPS)
+    let override_steps = std::env::var("LIMIT_MODEL_STEPS").ok();
+    override_steps
+        .and_then(|steps| steps.parse().ok())
+        .unwrap_or(STEPS)
 }
 
 #[test]
-fn no_run_spends_more_than_the_bound() {
-    let model = FleetModel::new(steps(), SeededFault::None);
+fn spent_tokens_stay_within_the_bound_in_all_runs() {
+    let model = FleetModel::new(steps(), InjectedDefect::None);
     model.explore_all(steps());
     let bound = model.tolerance.bound(&model.limit);
-    assert!(f64::from(model.worst.get()) <= bound);
-    // The pools are of use: the burst can be had at once.
-    assert!(f64::from(model.worst.get()) > model.limit.burst);
+    assert!(f64::from(model.most_spent.get()) <= bound);
+    // The pools are useful: the whole burst is available at once.
+    assert!(f64::from(model.most_spent.get()) > model.limit.burst);
 }
 
 #[test]
-fn deposits_that_are_made_again_are_found() {
-    let model = FleetModel::new(2, SeededFault::DepositsAgain);
+fn repeated_deposits_are_detected() {
+    let model = FleetModel::new(2, InjectedDefect::RepeatedDeposits);
     model.explore_all(2);
-    let sound = FleetModel::new(2, SeededFault::None);
-    sound.explore_all(2);
-    assert!(model.worst.get() > sound.worst.get());
+    let without_defect = FleetModel::new(2, InjectedDefect::None);
+    without_defect.explore_all(2);
+    assert!(model.most_spent.get() > without_defect.most_spent.get());
 }
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Properties of parsers and small structures over generated input, at a fixed seed.
+//! Properties of parsers and small data structures over generated input, with a fixed seed.
 
 use std::collections::BTreeSet;
 
@@ -9,7 +9,7 @@
 };
 use proptest::{collection, prelude::any, prop_assert, prop_assert_eq, test_runner};
 
-/// Seed of every property, so that CI gives the same verdict each time.
+/// Seed of all properties, so that CI results are reproducible.
 const SEED: u64 = 20_261_202;
 
 fn config() -> test_runner::Config {
@@ -25,7 +25,7 @@
     #![proptest_config(config())]
 
     #[test]
-    fn index_ranges_are_a_set(indices in collection::vec(0_u32..200, 0..100)) {
+    fn index_ranges_behave_like_a_set(indices in collection::vec(0_u32..200, 0..100)) {
         let mut ranges = index_ranges::IndexRanges::default();
         let mut set = BTreeSet::new();
         for index in indices {
@@ -34,18 +34,19 @@
         prop_assert_eq!(ranges.len() as usize, set.len());
         prop_assert!(ranges.iter().eq(set.iter().copied()));
         prop_assert!((0..201).all(|i| ranges.contains(i) == set.contains(&i)));
-        let text = serde_json::to_string(&ranges).expect("it is JSON");
-        let read: index_ranges::IndexRanges = serde_json::from_str(&text).expect("it is read");
+        let text = serde_json::to_string(&ranges).expect("the ranges serialize");
+        let read: index_ranges::IndexRanges =
+            serde_json::from_str(&text).expect("the ranges deserialize");
         prop_assert_eq!(read, ranges);
     }
 
     #[test]
-    fn no_line_of_bytes_stops_the_item_parser(line in collection::vec(any::<u8>(), 0..300)) {
+    fn item_parser_accepts_any_bytes_without_panic(line in collection::vec(any::<u8>(), 0..300)) {
         let _ = batch_item::BatchItem::parse(&line);
     }
 
     #[test]
-    fn an_item_that_parses_names_its_service(
+    fn parsed_item_has_a_service(
         url in "/(v1|services)/[a-z/]{0,20}",
         model in "[a-zA-Z0-9 ._-]{0,10}",
     ) {
@@ -57,20 +58,20 @@
     }
 
     #[test]
-    fn no_text_stops_the_settings_or_bundle_parser(text in ".{0,300}") {
+    fn settings_and_bundle_parsers_accept_any_text_without_panic(text in ".{0,300}") {
         let _ = settings::parse::<settings::gateway::GatewaySettings>("f", &text);
         let _ = serde_json::from_str::<bundle::BundleDocument>(&text);
     }
 
     #[test]
-    fn identifiers_read_back_as_written(text in ".{0,140}") {
+    fn identifiers_round_trip_through_text(text in ".{0,140}") {
         if let Ok(id) = text.parse::<ids::JobId>() {
             prop_assert_eq!(id.to_string(), text);
         }
     }
 
     #[test]
-    fn ranking_loses_and_doubles_no_endpoint(
+    fn ranking_is_a_permutation(
         loads in collection::vec(0_u32..20, 1..40),
         key in any::<u64>(),
         seed in any::<u64>(),
--- a/tests/queue_limit.rs
+++ b/tests/queue_limit.rs
@@ -1,4 +1,4 @@
-//! How many requests may wait at an endpoint, for services of all speeds.
+//! Limit on waiting requests at an endpoint, for services of various speeds.
 
 use std::time;
 
@@ -10,7 +10,7 @@
     time::Duration::from_millis(ms)
 }
 
-/// Requests that may wait at an endpoint, learned from runs of one length.
+/// Returns the queue limit after runs of one length.
 fn queue(slots: u32, hold: u64, first: u64, objective: u64) -> u32 {
     let (mut holds, mut firsts) = (HoldTimeEstimate::default(), FirstEventEstimate::default());
     for _ in 0..200 {
@@ -25,10 +25,10 @@
 #[case::ten_times_slower(8, 7500, 700, 3000, 1)]
 #[case::ten_times_faster(8, 75, 7, 30, 1)]
 #[case::short_calls(6, 60, 60, 300, 9)]
-#[case::one_slot_more_time(2, 750, 70, 5000, 6)]
+#[case::two_slots_and_a_long_objective(2, 750, 70, 5000, 6)]
 #[case::many_slots(64, 750, 70, 300, 7)]
-#[case::an_objective_that_nothing_that_waits_can_meet(8, 750, 90, 100, 0)]
-fn the_queue_follows_what_was_learned(
+#[case::objective_too_short_for_any_wait(8, 750, 90, 100, 0)]
+fn queue_limit_follows_the_estimates(
     #[case] slots: u32,
     #[case] hold: u64,
     #[case] first: u64,
@@ -38,13 +38,13 @@
     assert_eq!(queue(slots, hold, first, objective), expected);
 }
 
-/// Share of requests whose first event is in time, of those that come `load`
-/// times as fast as the slots serve them, with so many that may wait.
-fn share_in_time(slots: u32, hold: f64, first: f64, objective: f64, queue: u32, load: f64) -> f64 {
+/// Returns the share of requests whose first event is on time, if they arrive `load` times as
+/// fast as the slots serve them and `queue` of them may wait.
+fn on_time_share(slots: u32, hold: f64, first: f64, objective: f64, queue: u32, load: f64) -> f64 {
     let mut rng = rand::rngs::SmallRng::seed_from_u64(1);
     let mut ends = vec![0.0_f64; slots as usize];
     let mut begins: Vec<f64> = Vec::new();
-    let (mut in_time, count) = (0, 4_000);
+    let (mut on_time, count) = (0, 4_000);
     for n in 0..count {
         let now = f64::from(n) * hold / f64::from(slots) / load;
         begins.retain(|begin| *begin > now);
@@ -54,12 +54,12 @@
         let next = (0..ends.len()).min_by(|a, b| ends[*a].total_cmp(&ends[*b]));
         let slot = &mut ends[next.expect("there are slots")];
         let begin = slot.max(now);
-        // Runs differ by half of their mean either way.
+        // Runs vary by half of their mean in both directions.
         *slot = begin + hold * rng.random_range(0.5..1.5);
         begins.push(begin);
-        in_time += u32::from(begin + first - now <= objective);
+        on_time += u32::from(begin + first - now <= objective);
     }
-    f64::from(in_time) / f64::from(count)
+    f64::from(on_time) / f64::from(count)
 }
 
 #[rstest::rstest]
@@ -69,9 +69,9 @@
 #[case::short_calls(6, 0.06, 0.06, 0.3)]
 #[case::two_slots(2, 0.75, 0.07, 0.3)]
 #[case::many_slots(64, 0.75, 0.07, 0.3)]
-#[case::much_time(8, 0.75, 0.07, 5.0)]
-#[case::little_time(8, 0.75, 0.07, 0.1)]
-fn over_capacity_nearly_as_many_are_in_time_as_with_the_best_fixed_queue(
+#[case::long_objective(8, 0.75, 0.07, 5.0)]
+#[case::short_objective(8, 0.75, 0.07, 0.1)]
+fn queue_limit_is_nearly_as_good_as_the_best_fixed_queue_under_overload(
     #[case] slots: u32,
     #[case] hold: f64,
     #[case] first: f64,
@@ -79,7 +79,7 @@
 ) {
     let ms = |seconds: f64| (seconds * 1000.0) as u64;
     let learned = queue(slots, ms(hold), ms(first), ms(objective));
-    let share = |queue| share_in_time(slots, hold, first, objective, queue, 1.5);
+    let share = |queue| on_time_share(slots, hold, first, objective, queue, 1.5);
     let candidates = (0..=slots).chain((1..=8).map(|n| n * slots));
     let best = candidates.map(share).fold(0.0, f64::max);
     let reached = share(learned);
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn nothing_learned_allows_a_quarter_of_the_slots() {
+fn default_queue_limit_is_a_quarter_of_the_slots() {
     let holds = HoldTimeEstimate::default();
     assert_eq!(holds.queue(8, millis(200)), 2);
     assert_eq!(FirstEventEstimate::default().wait(millis(300)), millis(150));
--- a/tests/rate_limits.rs
+++ b/tests/rate_limits.rs
@@ -1,5 +1,6 @@
-//! Limits of workspaces over a fleet, as plain values: the sum over any window stays
-//! below its bound whatever is lost, late, repeated, cut off or begun anew.
+//! Rate limits of workspaces over a simulated fleet: the requests in any window stay within
+//! the bound, whatever messages are lost, late or repeated and whichever processes are
+//! partitioned or restarted.
 
 use std::time;
 
@@ -33,7 +34,7 @@
 where
     T::Err: std::fmt::Debug,
 {
-    text.parse().expect("it is an identifier")
+    text.parse().expect("the identifier is valid")
 }
 
 fn limit(rate: f64, burst: f64) -> RateLimit {
@@ -56,19 +57,19 @@
     }
 }
 
-fn play(plan: &LimitPlan) -> limit_fleet::LimitReport {
-    let mut way = pooled::PooledShares::new(plan, &TOLERANCE);
-    limit_fleet::simulate(plan, &TOLERANCE, &mut way)
+fn simulate(plan: &LimitPlan) -> limit_fleet::LimitReport {
+    let mut shares = pooled::PooledShares::new(plan, &TOLERANCE);
+    limit_fleet::simulate(plan, &TOLERANCE, &mut shares)
 }
 
 #[rstest]
-fn no_window_is_above_its_bound(#[values(1, 2, 3, 4, 5, 6, 7, 8)] seed: u64) {
-    let shown = play(&plan(LimitScenario::Mixed, seed));
-    assert!(shown.worst_window <= 1.0, "{shown:?}");
-    // The last fault ends eight seconds before the end.
+fn requests_in_any_window_stay_within_the_bound(#[values(1, 2, 3, 4, 5, 6, 7, 8)] seed: u64) {
+    let report = simulate(&plan(LimitScenario::Mixed, seed));
+    assert!(report.worst_window <= 1.0, "{report:?}");
+    // The last fault ends eight seconds before the end of the simulation.
     assert!(
-        shown.unchecked_after <= time::Duration::from_secs(2),
-        "{shown:?}"
+        report.unchecked_after <= time::Duration::from_secs(2),
+        "{report:?}"
     );
 }
 
@@ -77,32 +78,32 @@
 #[case::hot(LimitScenario::Hot, 0.001)]
 #[case::cut(LimitScenario::Cut, 0.02)]
 #[case::killed(LimitScenario::Killed, 0.08)]
-fn what_is_inside_the_limits_is_served(#[case] scenario: LimitScenario, #[case] most: f64) {
-    let shown = play(&plan(scenario, 1));
-    let refused = shown.refused_inside as f64 / shown.owed as f64;
-    assert!(refused <= most, "{refused} {shown:?}");
-    assert!(shown.worst_window <= 1.0, "{shown:?}");
+fn requests_within_the_limits_are_served(#[case] scenario: LimitScenario, #[case] most: f64) {
+    let report = simulate(&plan(scenario, 1));
+    let refused_share = report.refused_inside as f64 / report.owed as f64;
+    assert!(refused_share <= most, "{refused_share} {report:?}");
+    assert!(report.worst_window <= 1.0, "{report:?}");
 }
 
-/// A keeper alone, and deposits that come to it.
-struct LoneKeeper {
-    board: PoolTable,
+/// A single quota server with one gateway that makes deposits.
+struct SingleQuotaServer {
+    table: PoolTable,
     view: QuotaServerView,
     run: ids::RunNumber,
     shares: ShareClock,
     quota_server: ids::InstanceId,
 }
 
-impl LoneKeeper {
+impl SingleQuotaServer {
     fn new() -> Self {
         let quota_server: ids::InstanceId = id("d-0");
         let quota_servers = [quota_server.clone()];
-        let mut board = PoolTable::new(quota_server.clone(), TOLERANCE, at_ms(0));
-        board.set_quota_servers(&quota_servers, |_| None, at_ms(0));
+        let mut table = PoolTable::new(quota_server.clone(), TOLERANCE, at_ms(0));
+        table.set_quota_servers(&quota_servers, |_| None, at_ms(0));
         let mut shares = ShareClock::default();
         shares.set_quota_servers(&quota_servers, at_ms(0));
         Self {
-            board,
+            table,
             view: QuotaServerView::of(&quota_servers),
             run: ids::RunNumber::random(),
             shares,
@@ -110,7 +111,7 @@
         }
     }
 
-    /// The deposit that is due at a moment.
+    /// Returns the deposit that is due at `now`, if any.
     fn due(&mut self, now: MonotonicTime) -> Option<PoolDeposit> {
         let mut rng = rngs::SmallRng::seed_from_u64(1);
         let due = self.shares.take(&self.quota_server, now, &mut rng)?;
@@ -123,8 +124,8 @@
         })
     }
 
-    fn draw(&mut self, limit: &RateLimit, wanted: u32, now: MonotonicTime) -> u32 {
-        match self.board.grant(&id("w"), limit, wanted, now) {
+    fn request_tokens(&mut self, limit: &RateLimit, wanted: u32, now: MonotonicTime) -> u32 {
+        match self.table.grant(&id("w"), limit, wanted, now) {
             TokenGrant::Tokens(count) => count,
             TokenGrant::Empty(_) | TokenGrant::NotQuotaServer => 0,
         }
@@ -133,76 +134,76 @@
 
 #[test]
 fn repeated_late_and_foreign_deposits_credit_nothing() {
-    let mut quota_server = LoneKeeper::new();
-    let deposit = quota_server.due(at_ms(600)).expect("it is due");
+    let mut quota_server = SingleQuotaServer::new();
+    let deposit = quota_server.due(at_ms(600)).expect("a deposit is due");
     assert_eq!(
-        quota_server.board.deposit(&deposit, at_ms(600)),
+        quota_server.table.deposit(&deposit, at_ms(600)),
         DepositOutcome::Credited
     );
     assert_eq!(
-        quota_server.board.deposit(&deposit, at_ms(601)),
+        quota_server.table.deposit(&deposit, at_ms(601)),
         DepositOutcome::Repeated
     );
-    let late = quota_server.due(at_ms(1200)).expect("it is due");
+    let late = quota_server.due(at_ms(1200)).expect("a deposit is due");
     assert_eq!(
-        quota_server.board.deposit(&late, at_ms(4000)),
+        quota_server.table.deposit(&late, at_ms(4000)),
         DepositOutcome::Late
     );
-    let next = quota_server.due(at_ms(5000)).expect("it is due");
+    let next = quota_server.due(at_ms(5000)).expect("a deposit is due");
     let foreign = PoolDeposit {
         view: QuotaServerView::of(&[id("d-7")]),
         ..next
     };
     assert_eq!(
-        quota_server.board.deposit(&foreign, at_ms(5000)),
+        quota_server.table.deposit(&foreign, at_ms(5000)),
         DepositOutcome::OtherView
     );
     let ahead = PoolDeposit {
         stamp: at_ms(9000),
-        ..quota_server.due(at_ms(6000)).expect("it is due")
+        ..quota_server.due(at_ms(6000)).expect("a deposit is due")
     };
     assert_eq!(
-        quota_server.board.deposit(&ahead, at_ms(6000)),
+        quota_server.table.deposit(&ahead, at_ms(6000)),
         DepositOutcome::Late
     );
 }
 
 #[test]
-fn deposits_that_piled_up_while_a_keeper_stood_still_credit_no_more_than_its_burst() {
-    let mut quota_server = LoneKeeper::new();
+fn deposits_to_a_suspended_quota_server_credit_at_most_its_burst() {
+    let mut quota_server = SingleQuotaServer::new();
     let limit = limit(100.0, 0.0);
-    let piled: Vec<_> = (1..=6)
+    let queued_deposits: Vec<_> = (1..=6)
         .filter_map(|n| quota_server.due(at_ms(n * 500)))
         .collect();
-    for deposit in &piled {
-        // Their stamps are made young, to show the bound by the passing of time alone.
+    for deposit in &queued_deposits {
+        // Recent stamps, so that only the limit by elapsed time applies.
         let deposit = PoolDeposit {
             stamp: at_ms(3000),
             ..*deposit
         };
-        quota_server.board.deposit(&deposit, at_ms(3000));
+        quota_server.table.deposit(&deposit, at_ms(3000));
     }
-    assert!(quota_server.draw(&limit, 1000, at_ms(3000)) <= 25);
+    assert!(quota_server.request_tokens(&limit, 1000, at_ms(3000)) <= 25);
 }
 
 #[test]
-fn a_lower_limit_binds_at_once_and_a_higher_one_gives_no_more_than_its_depth() {
-    let mut quota_server = LoneKeeper::new();
+fn changed_limit_applies_at_once() {
+    let mut quota_server = SingleQuotaServer::new();
     for n in 1..20 {
-        let deposit = quota_server.due(at_ms(n * 500)).expect("it is due");
-        quota_server.board.deposit(&deposit, at_ms(n * 500));
+        let deposit = quota_server.due(at_ms(n * 500)).expect("a deposit is due");
+        quota_server.table.deposit(&deposit, at_ms(n * 500));
     }
     let now = at_ms(9500);
-    assert!(quota_server.draw(&limit(1.0, 1.0), 1000, now) <= 20);
+    assert!(quota_server.request_tokens(&limit(1.0, 1.0), 1000, now) <= 20);
     let high = limit(1000.0, 1000.0);
-    assert!(f64::from(quota_server.draw(&high, 10_000, now)) <= high.depth(&TOLERANCE));
+    assert!(f64::from(quota_server.request_tokens(&high, 10_000, now)) <= high.depth(&TOLERANCE));
 }
 
 #[test]
-fn drawn_tokens_expire_from_the_moment_they_were_asked_for() {
+fn token_ttl_starts_at_the_request() {
     let mut cache = TokenCache::default();
     let workspace = id("w");
-    // The answer came long after the request: its gateway stood still meanwhile.
+    // The response arrived long after the request: the gateway was suspended in between.
     cache.put(&workspace, 5, at_ms(0));
     assert!(!cache.spend(&workspace, at_ms(0) + GRANT_TTL));
     cache.put(&workspace, 1, at_ms(1000));
@@ -213,7 +214,7 @@
 }
 
 #[test]
-fn an_empty_pool_is_not_asked_for_each_request() {
+fn denial_is_reused_for_a_short_time() {
     let mut cache = TokenCache::default();
     let workspace = id("w");
     let denial = Denial::Exceeded(time::Duration::from_secs(3));
@@ -223,7 +224,7 @@
 }
 
 #[test]
-fn a_lost_keeper_is_followed_by_the_second_one() {
+fn second_quota_server_takes_over_from_a_lost_one() {
     let quota_servers: Vec<ids::InstanceId> = (0..MAX_QUOTA_SERVERS)
         .map(|n| id(&format!("d-{n}")))
         .collect();
@@ -247,14 +248,14 @@
     KeyFreshness::Current,
     KeyVerdict::Unauthorized
 )]
-#[case::none_and_behind(KeyMatch::NoKey, false, KeyFreshness::Stale, KeyVerdict::Unauthorized)]
+#[case::none_and_stale(KeyMatch::NoKey, false, KeyFreshness::Stale, KeyVerdict::Unauthorized)]
 #[case::unknown(
     KeyMatch::Unknown,
     false,
     KeyFreshness::Current,
     KeyVerdict::Unauthorized
 )]
-#[case::not_known_yet(KeyMatch::Unknown, false, KeyFreshness::Stale, KeyVerdict::Undecided)]
+#[case::unknown_and_stale(KeyMatch::Unknown, false, KeyFreshness::Stale, KeyVerdict::Undecided)]
 #[case::known(
     KeyMatch::Known(1),
     false,
@@ -269,50 +270,51 @@
     KeyFreshness::Current,
     KeyVerdict::Workspace(1)
 )]
-fn keys_are_judged(
+fn keys_are_authenticated(
     #[case] found: KeyMatch<u8>,
     #[case] is_public: bool,
-    #[case] view: KeyFreshness,
+    #[case] freshness: KeyFreshness,
     #[case] expected: KeyVerdict<u8>,
 ) {
-    assert_eq!(authenticate(found, is_public, view), expected);
+    assert_eq!(authenticate(found, is_public, freshness), expected);
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(64))]
 
-    /// Whatever comes in whichever order, a keeper gives no more than its burst, its
-    /// depth and the passing of time allow.
+    /// Guards against a quota server that grants more tokens than its burst, its depth and the
+    /// elapsed time allow, in any order of requests and of lost, late and repeated deposits.
     #[test]
-    fn a_keeper_never_gives_more_than_time_allows(
+    fn quota_server_never_grants_more_than_time_allows(
         steps in proptest::collection::vec((1u64..900, 0u32..60, 0u8..4), 1..80),
         rate in 1.0f64..200.0,
         burst in 0.0f64..200.0,
     ) {
         let limit = limit(rate, burst);
-        let mut quota_server = LoneKeeper::new();
+        let mut quota_server = SingleQuotaServer::new();
         let mut now_ms = 0;
-        let mut given: Vec<(u64, u32)> = Vec::new();
-        let mut kept: Vec<PoolDeposit> = Vec::new();
-        for (pause, wanted, what) in steps {
-            now_ms += pause;
+        let mut granted: Vec<(u64, u32)> = Vec::new();
+        let mut delayed: Vec<PoolDeposit> = Vec::new();
+        for (wait_ms, wanted, what) in steps {
+            now_ms += wait_ms;
             let now = at_ms(now_ms);
             match what {
-                // Lost, in order, and kept back to come late or twice.
+                // 0: lost; 1: delivered, and repeated later; 2: delayed; 3: delivers the delayed
+                // and repeated ones.
                 0 => drop(quota_server.due(now)),
                 1 => if let Some(deposit) = quota_server.due(now) {
-                    quota_server.board.deposit(&deposit, now);
-                    kept.push(deposit);
+                    quota_server.table.deposit(&deposit, now);
+                    delayed.push(deposit);
                 },
-                2 => kept.extend(quota_server.due(now)),
-                _ => for deposit in kept.drain(..) {
-                    quota_server.board.deposit(&deposit, now);
+                2 => delayed.extend(quota_server.due(now)),
+                _ => for deposit in delayed.drain(..) {
+                    quota_server.table.deposit(&deposit, now);
                 },
             }
-            given.push((now_ms, quota_server.draw(&limit, wanted, now)));
+            granted.push((now_ms, quota_server.request_tokens(&limit, wanted, now)));
         }
-        for (from, _) in &given {
-            let window = given.iter().filter(|(at, _)| at >= from && *at < from + 5000);
+        for (from, _) in &granted {
+            let window = granted.iter().filter(|(at, _)| at >= from && *at < from + 5000);
             let count: u32 = window.map(|(_, count)| count).sum();
             prop_assert!(f64::from(count) <= TOLERANCE.bound(&limit) + 1.0);
         }
--- a/tests/settled_writes.rs
+++ b/tests/settled_writes.rs
@@ -1,4 +1,4 @@
-//! Writes whose answers are lost, on a small fake of the object service.
+//! Writes whose responses are lost, against a small fake of the object service.
 
 use std::{collections::VecDeque, sync::Mutex, time};
 
@@ -10,22 +10,22 @@
 };
 use rstest::rstest;
 
-/// What becomes of one call.
+/// Outcome of one call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Fate {
+enum CallOutcome {
     Done,
-    /// It takes effect and its answer is lost.
-    AnswerLost,
-    /// It is lost on its way.
-    Lost,
+    /// The call takes effect, but its response is lost.
+    ResponseLost,
+    /// The request is lost before it takes effect.
+    RequestLost,
     Refused,
 }
 
-/// One object, and the fates of the calls to come; the last fate goes on.
+/// Fake store with one object, and the outcomes of the next writes; the last outcome repeats.
 struct FakeStore {
     object: Mutex<Option<VersionedObject>>,
-    writes: Mutex<VecDeque<Fate>>,
-    readable: bool,
+    writes: Mutex<VecDeque<CallOutcome>>,
+    is_readable: bool,
 }
 
 impl FakeStore {
@@ -35,32 +35,32 @@
         condition: WriteCondition,
     ) -> StoreResult<store::ObjectRevision> {
         let mut writes = self.writes.lock().expect("no test thread panicked");
-        let fate = if writes.len() > 1 {
+        let outcome = if writes.len() > 1 {
             writes.pop_front()
         } else {
             writes.front().copied()
         };
-        let fate = fate.expect("there is a fate");
-        if fate == Fate::Refused {
+        let outcome = outcome.expect("there is at least one outcome");
+        if outcome == CallOutcome::Refused {
             return Err(StoreError::Unavailable("out".into()));
         }
-        if fate == Fate::Lost {
+        if outcome == CallOutcome::RequestLost {
             return Err(StoreError::Unknown);
         }
         let mut object = self.object.lock().expect("no test thread panicked");
         let found = object.as_ref().map(|o| o.revision);
-        let holds = match condition {
+        let is_met = match condition {
             WriteCondition::Always => true,
             WriteCondition::Absent => found.is_none(),
             WriteCondition::Match(revision) => found == Some(revision),
         };
-        if !holds {
+        if !is_met {
             return Err(StoreError::Conflict);
         }
         let revision = store::ObjectRevision(found.map_or(1, |r| r.0 + 1));
         *object = Some(VersionedObject { revision, value });
-        match fate {
-            Fate::AnswerLost => Err(StoreError::Unknown),
+        match outcome {
+            CallOutcome::ResponseLost => Err(StoreError::Unknown),
             _ => Ok(revision),
         }
     }
@@ -72,7 +72,7 @@
         _: CallClass,
         _: &str,
     ) -> future::BoxFuture<'static, StoreResult<Option<VersionedObject>>> {
-        let found = match self.readable {
+        let found = match self.is_readable {
             true => Ok(self.object.lock().expect("no test thread panicked").clone()),
             false => Err(StoreError::Unavailable("out".into())),
         };
@@ -123,11 +123,11 @@
     }
 }
 
-fn put(fates: &[Fate], readable: bool) -> StoreResult<settle::SettledWrite> {
+fn put(outcomes: &[CallOutcome], is_readable: bool) -> StoreResult<settle::SettledWrite> {
     let fake = FakeStore {
         object: Mutex::new(None),
-        writes: Mutex::new(fates.iter().copied().collect()),
-        readable,
+        writes: Mutex::new(outcomes.iter().copied().collect()),
+        is_readable,
     };
     actix_rt::System::new().block_on(settle::put(
         &fake,
@@ -140,27 +140,27 @@
 }
 
 #[rstest]
-#[case::done(&[Fate::Done])]
-#[case::answer_lost(&[Fate::AnswerLost, Fate::Refused])]
-#[case::lost_then_done(&[Fate::Lost, Fate::Lost, Fate::Done])]
-#[case::refused_then_done(&[Fate::Refused, Fate::Done])]
-#[case::answer_lost_then_conflict(&[Fate::AnswerLost, Fate::Done])]
-fn a_write_that_took_effect_is_known(#[case] fates: &[Fate]) {
+#[case::done(&[CallOutcome::Done])]
+#[case::response_lost(&[CallOutcome::ResponseLost, CallOutcome::Refused])]
+#[case::request_lost_then_done(&[CallOutcome::RequestLost, CallOutcome::RequestLost, CallOutcome::Done])]
+#[case::refused_then_done(&[CallOutcome::Refused, CallOutcome::Done])]
+#[case::response_lost_then_conflict(&[CallOutcome::ResponseLost, CallOutcome::Done])]
+fn completed_write_is_detected(#[case] outcomes: &[CallOutcome]) {
     assert_eq!(
-        put(fates, true),
+        put(outcomes, true),
         Ok(settle::SettledWrite::Done(store::ObjectRevision(1)))
     );
 }
 
 #[rstest]
-#[case::refused(&[Fate::Refused], false)]
-#[case::lost_and_unreadable(&[Fate::Lost], true)]
-#[case::answer_lost_and_out(&[Fate::AnswerLost, Fate::Refused], true)]
-fn a_write_is_refused_only_if_no_try_can_have_taken_effect(
-    #[case] fates: &[Fate],
+#[case::refused(&[CallOutcome::Refused], false)]
+#[case::request_lost_and_unreadable(&[CallOutcome::RequestLost], true)]
+#[case::response_lost_and_unavailable(&[CallOutcome::ResponseLost, CallOutcome::Refused], true)]
+fn write_is_unavailable_only_if_no_attempt_can_have_taken_effect(
+    #[case] outcomes: &[CallOutcome],
     #[case] may_have_taken_effect: bool,
 ) {
-    let error = put(fates, false).expect_err("its outcome cannot be known");
+    let error = put(outcomes, false).expect_err("the object cannot be read");
     assert_eq!(
         error == StoreError::Unknown,
         may_have_taken_effect,
