--- a/src/decisions/admission.rs
+++ b/src/decisions/admission.rs
@@ -213,7 +213,7 @@
         }
     }
 
-    fn preempts(&self) -> bool {
+    fn allows_preemption(&self) -> bool {
         use BatchPolicy as P;
         matches!(
             self.spec.policy,
@@ -224,7 +224,7 @@
     /// Selects the streams in excess of the limit, those with the fewest tokens first, as they
     /// lose the least work.
     fn choose_preempted(&self) -> Vec<StreamNumber> {
-        if !self.preempts() {
+        if !self.allows_preemption() {
             return Vec::new();
         }
         let excess = self
@@ -242,17 +242,17 @@
         if self.leaving {
             return 0;
         }
-        let unspaced = matches!(
+        let is_unpaced = matches!(
             self.spec.policy,
             BatchPolicy::Uncontrolled | BatchPolicy::Fixed
         );
-        if unspaced {
+        if is_unpaced {
             return self
                 .stream_limit(self.online())
                 .saturating_sub(self.batch());
         }
-        let early = |at| now.since(at) < self.spec.start_spacing;
-        if self.started_at.is_some_and(early) {
+        let is_too_soon = |at| now.since(at) < self.spec.start_spacing;
+        if self.started_at.is_some_and(is_too_soon) {
             return 0;
         }
         let online = self.online();
--- a/src/decisions/authentication.rs
+++ b/src/decisions/authentication.rs
@@ -34,8 +34,12 @@
 }
 
 /// Authenticates a request. `is_public` means that its route needs no key.
-pub fn authenticate<W>(found: KeyMatch<W>, is_public: bool, view: KeyFreshness) -> KeyVerdict<W> {
-    match (found, view) {
+pub fn authenticate<W>(
+    found: KeyMatch<W>,
+    is_public: bool,
+    freshness: KeyFreshness,
+) -> KeyVerdict<W> {
+    match (found, freshness) {
         (KeyMatch::Known(workspace), _) => KeyVerdict::Workspace(workspace),
         (KeyMatch::NoKey | KeyMatch::Unknown, _) if is_public => KeyVerdict::Anonymous,
         (KeyMatch::NoKey, _) | (KeyMatch::Unknown, KeyFreshness::Current) => {
--- a/src/decisions/crash_ledger.rs
+++ b/src/decisions/crash_ledger.rs
@@ -126,7 +126,7 @@
     /// Run of the endpoint.
     pub endpoint: ids::EndpointRun,
     /// Time at which the request was sent to the endpoint.
-    pub begun: clock::MonotonicTime,
+    pub sent_at: clock::MonotonicTime,
 }
 
 /// Outcome of recording a crash.
@@ -251,7 +251,7 @@
         let latest = known.max_by_key(|(id, _)| id.ordinal);
         let ordinal = match latest {
             None => 1,
-            Some((id, learned)) if run.begun > *learned + MIN_DOWNTIME => id.ordinal + 1,
+            Some((id, learned)) if run.sent_at > *learned + MIN_DOWNTIME => id.ordinal + 1,
             Some(_) => return None,
         };
         let run = run.endpoint.clone();
@@ -306,11 +306,11 @@
     /// the request was sent.
     fn record_end(&mut self, run: &CrashedRun, now: clock::MonotonicTime) -> bool {
         let ended_at = self.last_ends.get(&run.endpoint).copied();
-        let is_new = ended_at.is_none_or(|at| run.begun > at + MIN_DOWNTIME);
+        let is_new = ended_at.is_none_or(|at| run.sent_at > at + MIN_DOWNTIME);
         if is_new {
             self.last_ends.put(run.endpoint.clone(), now);
         }
-        ended_at.is_some_and(|at| !is_new && run.begun > at)
+        ended_at.is_some_and(|at| !is_new && run.sent_at > at)
     }
 
     /// Returns whether a request was served so recently that a crash is not attributed to it.
--- a/src/decisions/job.rs
+++ b/src/decisions/job.rs
@@ -123,14 +123,14 @@
     if now >= manifest.due_at {
         return DueVerdict::Late;
     }
-    let spent = now.saturating_sub(manifest.created_at);
+    let elapsed = now.saturating_sub(manifest.created_at);
     let window = manifest.due_at.saturating_sub(manifest.created_at).max(1);
-    if spent * 10 < window {
+    if elapsed * 10 < window {
         // Less than a tenth of the window has passed, which is too short to extrapolate from.
         return DueVerdict::OnTime;
     }
-    let left = u64::from(manifest.items.saturating_sub(done));
-    let needed = left * spent / u64::from(done.max(1));
+    let remaining = u64::from(manifest.items.saturating_sub(done));
+    let needed = remaining * elapsed / u64::from(done.max(1));
     if now + needed > manifest.due_at {
         return DueVerdict::AtRisk;
     }
--- a/src/decisions/job_order.rs
+++ b/src/decisions/job_order.rs
@@ -31,11 +31,11 @@
     pub fn sort(&self, jobs: &mut [&job::JobManifest], now: u64) {
         jobs.sort_by_cached_key(|j| {
             let window = j.due_at.saturating_sub(j.created_at);
-            let left = j.due_at.saturating_sub(now);
-            let urgent = left * 100 < window * URGENT_PERCENT;
+            let remaining = j.due_at.saturating_sub(now);
+            let is_urgent = remaining * 100 < window * URGENT_PERCENT;
             let served = self.served.get(&j.workspace).copied().unwrap_or(0);
-            let fair = if urgent { 0 } else { served };
-            (!urgent, fair, j.due_at, j.id.clone())
+            let fair = if is_urgent { 0 } else { served };
+            (!is_urgent, fair, j.due_at, j.id.clone())
         });
     }
 
@@ -47,9 +47,9 @@
             .retain(|workspace, _| active.contains(workspace));
         // A new workspace starts at the minimum rather than at 0, so that it does not catch up on
         // work from before it had any.
-        let least = self.served.values().min().copied().unwrap_or(0);
+        let minimum = self.served.values().min().copied().unwrap_or(0);
         for workspace in active {
-            self.served.entry(workspace.clone()).or_insert(least);
+            self.served.entry(workspace.clone()).or_insert(minimum);
         }
     }
 }
--- a/src/decisions/job_plan.rs
+++ b/src/decisions/job_plan.rs
@@ -23,7 +23,7 @@
 /// Chunks per dispatcher in a job's group.
 ///
 /// With one, a medium-sized job occupies every owner; with four, two thirds of the engines
-/// had no batch work in the harm benchmark.
+/// had no batch work in a run of `jayhollow-bench harm`.
 const CHUNKS_PER_MEMBER: usize = 1;
 /// Minimum number of dispatchers in a group, so that one may be lost.
 const MIN_GROUP: usize = 2;
--- a/src/decisions/lease.rs
+++ b/src/decisions/lease.rs
@@ -11,8 +11,8 @@
 
 #[derive(Debug, Clone)]
 struct ObservedLease {
-    beat: u64,
-    silent: time::Duration,
+    heartbeat: u64,
+    silent_for: time::Duration,
     leaving: bool,
 }
 
@@ -34,17 +34,17 @@
         }
     }
 
-    /// Records the state of an instance's record; `beat` differs for each renewal.
-    pub fn record(&mut self, id: &ids::InstanceId, beat: u64, leaving: bool) {
+    /// Records the state of an instance's record; `heartbeat` differs for each renewal.
+    pub fn record(&mut self, id: &ids::InstanceId, heartbeat: u64, leaving: bool) {
         let lease = self.leases.entry(id.clone()).or_insert(ObservedLease {
-            beat,
-            silent: time::Duration::ZERO,
+            heartbeat,
+            silent_for: time::Duration::ZERO,
             leaving,
         });
-        if lease.beat != beat {
-            lease.silent = time::Duration::ZERO;
+        if lease.heartbeat != heartbeat {
+            lease.silent_for = time::Duration::ZERO;
         }
-        lease.beat = beat;
+        lease.heartbeat = heartbeat;
         lease.leaving = leaving;
     }
 
@@ -53,12 +53,12 @@
         self.leases.remove(id);
     }
 
-    /// Advances time; `readable` tells whether the object service could be read since the last
+    /// Advances time; `is_readable` tells whether the object service could be read since the last
     /// tick.
-    pub fn tick(&mut self, now: clock::MonotonicTime, readable: bool) {
+    pub fn tick(&mut self, now: clock::MonotonicTime, is_readable: bool) {
         let passed = now.since(self.ticked_at);
         self.ticked_at = now;
-        if !readable {
+        if !is_readable {
             return;
         }
         // A gap as long as the lease timeout means that this observer was paused itself.
@@ -66,7 +66,7 @@
             return;
         }
         for lease in self.leases.values_mut() {
-            lease.silent += passed;
+            lease.silent_for += passed;
         }
     }
 
@@ -74,7 +74,7 @@
     pub fn is_live(&self, id: &ids::InstanceId) -> bool {
         self.leases
             .get(id)
-            .is_some_and(|l| l.silent < self.lease_timeout)
+            .is_some_and(|l| l.silent_for < self.lease_timeout)
     }
 
     /// Returns whether the instance's lease is valid and the instance is not leaving.
@@ -84,9 +84,12 @@
 
     /// Returns the instances whose leases expired so long ago that their records may be deleted.
     pub fn removable_instances(&self) -> Vec<ids::InstanceId> {
-        let old = self.lease_timeout * REMOVAL_TIMEOUTS;
-        let gone = self.leases.iter().filter(|(_, l)| l.silent >= old);
-        gone.map(|(id, _)| id.clone()).collect()
+        let threshold = self.lease_timeout * REMOVAL_TIMEOUTS;
+        let removable = self
+            .leases
+            .iter()
+            .filter(|(_, l)| l.silent_for >= threshold);
+        removable.map(|(id, _)| id.clone()).collect()
     }
 }
 
--- a/src/decisions/queue_limit.rs
+++ b/src/decisions/queue_limit.rs
@@ -37,10 +37,10 @@
     }
 
     /// Returns how many requests may wait at an endpoint with `slots` slots, each for up to
-    /// `wait`.
-    pub fn queue(&self, slots: u32, wait: time::Duration) -> u32 {
+    /// `max_wait`.
+    pub fn max_waiting(&self, slots: u32, max_wait: time::Duration) -> u32 {
         let per_slot = match self.mean_s {
-            Some(mean) if mean > 0.0 => wait.as_secs_f64() / mean,
+            Some(mean) if mean > 0.0 => max_wait.as_secs_f64() / mean,
             _ => DEFAULT_PER_SLOT,
         };
         (f64::from(slots) * per_slot.min(MAX_PER_SLOT)).round() as u32
@@ -63,7 +63,7 @@
     }
 
     /// Returns how long a request may wait for a slot and still meet `objective`.
-    pub fn wait(&self, objective: time::Duration) -> time::Duration {
+    pub fn max_wait(&self, objective: time::Duration) -> time::Duration {
         let first = time::Duration::from_secs_f64(self.estimate_s.unwrap_or(0.0));
         objective.mul_f64(PLANNED_FRACTION).saturating_sub(first)
     }
--- a/src/decisions/rate_limits/token_cache.rs
+++ b/src/decisions/rate_limits/token_cache.rs
@@ -64,8 +64,8 @@
 
     fn entry(&mut self, workspace: &ids::WorkspaceId) -> &mut WorkspaceTokens {
         if !self.workspaces.contains_key(workspace) {
-            let fresh = WorkspaceTokens::default();
-            self.workspaces.insert(workspace.clone(), fresh);
+            let new_entry = WorkspaceTokens::default();
+            self.workspaces.insert(workspace.clone(), new_entry);
         }
         self.workspaces
             .get_mut(workspace)
--- a/src/decisions/rate_limits/token_pools.rs
+++ b/src/decisions/rate_limits/token_pools.rs
@@ -206,12 +206,12 @@
             return TokenGrant::NotQuotaServer;
         };
         let depth = limit.depth(&self.tolerance) * self.coverage(now);
-        let fresh = TokenPool {
+        let new_pool = TokenPool {
             tokens: 0.0,
             accrued_to: self.credited_at_view,
             fraction,
         };
-        let pool = self.pools.entry(workspace.clone()).or_insert(fresh);
+        let pool = self.pools.entry(workspace.clone()).or_insert(new_pool);
         pool.accrue(self.credited, limit, depth);
         let granted = pool.tokens.floor().clamp(0.0, f64::from(wanted));
         if granted >= 1.0 {
--- a/src/decisions/step_model.rs
+++ b/src/decisions/step_model.rs
@@ -16,7 +16,8 @@
 
 /// Line `step = base + slope * sequences`, fitted by least squares with exponential decay.
 ///
-/// Invariant: all fields are sums over the same samples with the same weights.
+/// `n` stands for the number of sequences and `y` for the step time in seconds. Invariant:
+/// all fields are sums over the same samples with the same weights.
 #[derive(Debug, Clone, Default)]
 pub struct StepModel {
     weight: f64,
--- a/src/serving/crash_watch.rs
+++ b/src/serving/crash_watch.rs
@@ -105,7 +105,7 @@
     let crash = crash_ledger::CrashedRun {
         digest: run.digest,
         endpoint: endpoint.clone(),
-        begun: run.begun,
+        sent_at: run.begun,
     };
     let outcome = crash_guard::record_crash(context, &crash);
     let label = evidence.label();
--- a/src/serving/permits.rs
+++ b/src/serving/permits.rs
@@ -302,7 +302,8 @@
     /// Requests that may wait at an endpoint, each for so long.
     fn queue_of(&self, owned: &OwnedLedger, wait: time::Duration) -> u32 {
         let hold = self.holds.get(&owned.entry.service).copied();
-        hold.unwrap_or_default().queue(owned.entry.slots, wait)
+        hold.unwrap_or_default()
+            .max_waiting(owned.entry.slots, wait)
     }
 
     /// Ends the permit of a request that was served, and learns from it; gives
--- a/src/serving/slots.rs
+++ b/src/serving/slots.rs
@@ -301,7 +301,7 @@
         service: service.clone(),
         tried: unwanted,
         may_queue: false,
-        wait: first.unwrap_or_default().wait(request.objective),
+        wait: first.unwrap_or_default().max_wait(request.objective),
     }
 }
 
--- a/tests/crash_ledger.rs
+++ b/tests/crash_ledger.rs
@@ -42,7 +42,7 @@
     let run = CrashedRun {
         digest: digest(name),
         endpoint: endpoint(number),
-        begun: at(second - 1),
+        sent_at: at(second - 1),
     };
     ledger.record_crash(&run, at(second))
 }
@@ -81,7 +81,7 @@
     let run = CrashedRun {
         digest: digest("x"),
         endpoint: endpoint(1),
-        begun: at(0),
+        sent_at: at(0),
     };
     for second in 2..6 {
         let outcome = ledger.record_crash(&run, at(second));
@@ -117,7 +117,7 @@
     let sent = |name: &str, micros: u64| CrashedRun {
         digest: digest(name),
         endpoint: endpoint(1),
-        begun: clock::MonotonicTime(1_000_000 + micros),
+        sent_at: clock::MonotonicTime(1_000_000 + micros),
     };
     for round in 1..9 {
         let now = clock::MonotonicTime(1_010_000 + round * 50_000);
--- a/tests/queue_limit.rs
+++ b/tests/queue_limit.rs
@@ -17,7 +17,7 @@
         holds.record(millis(hold));
         firsts.record(millis(first));
     }
-    holds.queue(slots, firsts.wait(millis(objective)))
+    holds.max_waiting(slots, firsts.max_wait(millis(objective)))
 }
 
 #[rstest::rstest]
@@ -78,20 +78,23 @@
     #[case] objective: f64,
 ) {
     let ms = |seconds: f64| (seconds * 1000.0) as u64;
-    let learned = queue(slots, ms(hold), ms(first), ms(objective));
+    let estimated = queue(slots, ms(hold), ms(first), ms(objective));
     let share = |queue| on_time_share(slots, hold, first, objective, queue, 1.5);
     let candidates = (0..=slots).chain((1..=8).map(|n| n * slots));
     let best = candidates.map(share).fold(0.0, f64::max);
-    let reached = share(learned);
+    let reached = share(estimated);
     assert!(
         reached >= 0.9 * best,
-        "{reached} of {best}, queue {learned}"
+        "{reached} of {best}, queue {estimated}"
     );
 }
 
 #[test]
 fn default_queue_limit_is_a_quarter_of_the_slots() {
     let holds = HoldTimeEstimate::default();
-    assert_eq!(holds.queue(8, millis(200)), 2);
-    assert_eq!(FirstEventEstimate::default().wait(millis(300)), millis(150));
+    assert_eq!(holds.max_waiting(8, millis(200)), 2);
+    assert_eq!(
+        FirstEventEstimate::default().max_wait(millis(300)),
+        millis(150)
+    );
 }
