--- a/src/decisions/admission.rs
+++ b/src/decisions/admission.rs
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Makes stream numbers start after `number`, so that they differ from those of an earlier
+    /// Makes stream numbers start after `number`, so that they differ from those of another
     /// ledger for the same endpoint.
     pub fn number_streams_after(&mut self, number: StreamNumber) {
         self.next_stream = self.next_stream.max(number);
--- a/src/decisions/crash_ledger.rs
+++ b/src/decisions/crash_ledger.rs
@@ -158,7 +158,7 @@
         match self {
             Self::Allowed => f.write_str("free"),
             Self::Trial => f.write_str("trial"),
-            Self::Quarantined(left) => write!(f, "quarantined for {} s", left.as_secs()),
+            Self::Quarantined(left) => write!(f, "held for {} s", left.as_secs()),
         }
     }
 }
