--- a/src/serving/slots.rs
+++ b/src/serving/slots.rs
@@ -274,7 +274,7 @@
             is_same_domain: owner.domain == *context.domain(),
         }
     });
-    owner_order::draw_order(known.collect(), &mut rand::rng())
+    owner_order::random_order(known.collect(), &mut rand::rng())
 }
 
 fn online_slot_request(
@@ -301,7 +301,7 @@
         service: service.clone(),
         tried: unwanted,
         may_queue: false,
-        wait: first.unwrap_or_default().wait(request.objective),
+        wait: first.unwrap_or_default().max_wait(request.objective),
     }
 }
 
