--- a/src/serving/answer_copy.rs
+++ b/src/serving/answer_copy.rs
@@ -1,21 +1,21 @@
-//! Copies of an endpoint's answer for the caller.
+//! Copies an endpoint's response for the caller.
 
 use super::{connection, context};
 
-/// Largest whole answer that is held back until it is complete, in bytes.
+/// Largest response that is buffered until it is complete, in bytes.
 const MAX_HELD_BYTES: usize = 1 << 20;
 
-/// Reads the body of an answer to its proper end.
+/// Reads the body of a response to its end.
 ///
 /// # Errors
-/// It was cut, is malformed or too large.
+/// The body was truncated, is malformed or exceeds `MAX_HELD_BYTES`.
 pub(super) async fn read_whole(
     incoming: &mut connection::IncomingAnswer,
 ) -> Result<bytes::Bytes, connection::ExchangeError> {
     let mut body = bytes::BytesMut::new();
     while let Some(bytes) = incoming.next_bytes().await? {
         if body.len() + bytes.len() > MAX_HELD_BYTES {
-            let reason = format!("the answer is larger than {MAX_HELD_BYTES} bytes");
+            let reason = format!("the response is larger than {MAX_HELD_BYTES} bytes");
             return Err(connection::ExchangeError::Malformed(reason));
         }
         body.extend_from_slice(&bytes);
@@ -23,14 +23,14 @@
     Ok(body.freeze())
 }
 
-/// A copy of a head.
+/// Clones the head of a response, which the library's type doesn't.
 pub(super) fn copy_head(head: &actix_http::ResponseHead) -> actix_http::ResponseHead {
     let mut copy = actix_http::ResponseHead::new(head.status);
     copy.headers = head.headers.clone();
     copy
 }
 
-/// Copies the headers that go on to the caller.
+/// Copies the headers that are forwarded to the caller.
 pub(super) fn copy_headers(
     context: &context::ProcessContext,
     head: &actix_http::ResponseHead,
--- a/src/serving/attempt.rs
+++ b/src/serving/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at one endpoint: connect, send, and classify what comes back.
+//! One attempt at one endpoint: connects, sends the request and classifies the response.
 
 use std::{cell, rc, time};
 
@@ -7,8 +7,10 @@
 use super::{connection, context, directory, wire};
 use crate::{ids, outcome, protection};
 
-/// Longest wait for a connection; a round trip takes 1 to 4 ms, a dropped
-/// opening packet is sent again only after a second.
+/// Timeout for opening a connection.
+///
+/// A round trip takes 1 to 4 ms. A lost SYN is retransmitted only after a second, so
+/// waiting longer gains nothing.
 const CONNECT_TIMEOUT: time::Duration = time::Duration::from_millis(150);
 
 /// The part of a request that is the same for all its attempts.
@@ -18,30 +20,30 @@
     pub method: Method,
     /// Path and query.
     pub uri: actix_http::Uri,
-    /// Headers as they go to an endpoint, without those of an attempt.
+    /// Headers for the endpoint, without those that differ between attempts.
     pub headers: wire::HeaderMap,
     /// Body.
     pub body: bytes::Bytes,
-    /// What it asks, the same for each try of it.
+    /// Digest of the content, the same for each attempt and each retry by the caller.
     pub digest: ids::RequestDigest,
-    /// Name that the endpoint echoes.
+    /// Request id, which the endpoint echoes in its response.
     pub id: Option<String>,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub repeatable: bool,
 }
 
-/// An answer whose head is there.
+/// A response whose head has been read and whose body is still open.
 pub struct OpenResponse {
-    /// The answer with its connection.
+    /// The response and its connection.
     pub incoming: connection::IncomingAnswer,
-    /// What the head says.
+    /// Metadata from the head.
     pub notes: wire::ResponseMetadata,
 }
 
 /// Connects to an endpoint for one attempt.
 ///
 /// # Errors
-/// No connection is made in time: the attempt did not run.
+/// The connection failed or timed out, which proves that the attempt did not run.
 pub async fn connect(
     endpoint: &directory::EndpointEntry,
     timeout: time::Duration,
@@ -51,11 +53,11 @@
     opened.map_err(|e| outcome::NotRunProof::no_connection(&e))
 }
 
-/// Sends one attempt and waits for the head of its answer.
+/// Sends one attempt and waits for the head of its response.
 ///
-/// `opened` is a connection that was made for it, if there is one; `is_kept` is told
-/// whether it went out on one that was kept; `head_timeout` bounds the wait after
-/// the request went out.
+/// `opened` is a connection opened for this attempt, if there is one. `is_kept` is set
+/// to whether the request was sent on a pooled connection. `head_timeout` limits
+/// connecting, sending and the wait for the head.
 pub async fn send(
     context: &rc::Rc<context::ProcessContext>,
     endpoint: &directory::EndpointEntry,
@@ -78,20 +80,21 @@
         Ok(Err(ended)) => return ended,
         Err(_) => {
             context.pool.forget(endpoint.address);
-            let why = format!("no answer within {} ms", head_timeout.as_millis());
+            let why = format!("no response within {} ms", head_timeout.as_millis());
             return O::Unknown(why);
         }
     };
     classify(context, endpoint, request, incoming)
 }
 
-/// Sends the request on a kept connection where it may be repeated, or on a new one.
+/// Sends a repeatable request on a pooled connection if there is one, any other on a
+/// new connection.
 ///
-/// A kept connection may close while a request is on its way; one that may
-/// not run twice would be lost with it. Others go out once more, unless the
-/// endpoint leaves by now: the first try may have waited there for long. Where no
-/// second connection can be made, the first try may still have run: the endpoint may
-/// have ended under it.
+/// The endpoint may close a pooled connection while a request is in transit, and a request
+/// that must not run twice would then be lost. A repeatable one is sent once more on a new
+/// connection, unless the endpoint has begun to drain: the first try may have waited
+/// there for long. If no second connection can be opened, the outcome is unknown: the
+/// first try may have run and the endpoint may have crashed during it.
 async fn exchange(
     context: &rc::Rc<context::ProcessContext>,
     endpoint: &directory::EndpointEntry,
@@ -114,7 +117,7 @@
                         endpoint.id
                     );
                     if !is_usable(context, endpoint) {
-                        let why = format!("{e}, and the endpoint is leaving");
+                        let why = format!("{e}, and the endpoint is draining");
                         return Err(O::Unknown(why));
                     }
                     broken = Some(e);
@@ -126,13 +129,13 @@
     is_kept.set(false);
     let opened = connect(endpoint, timeout).await;
     let opened = opened.map_err(|proof| match broken {
-        Some(e) => O::Unknown(format!("{e}, and then {}", proof.reason())),
+        Some(e) => O::Unknown(format!("{e}, then {}", proof.reason())),
         None => O::NotRun(proof),
     })?;
     exchange_on(context, opened, request, terms).await
 }
 
-/// Sends the request on a new connection.
+/// Sends the request on the given connection.
 async fn exchange_on(
     context: &rc::Rc<context::ProcessContext>,
     opened: connection::EndpointConnection,
@@ -143,7 +146,7 @@
     exchanged.map_err(|e| outcome::AttemptOutcome::Unknown(e.to_string()))
 }
 
-/// Whether an endpoint may still get requests.
+/// Returns whether an endpoint still accepts requests.
 fn is_usable(context: &context::ProcessContext, endpoint: &directory::EndpointEntry) -> bool {
     let directory = context.fleet.directory.borrow();
     directory.usable(&endpoint.id).is_some()
@@ -189,35 +192,37 @@
     }
     if is_promise(status) {
         return O::Unknown(format!(
-            "status {status} without the word that it did not run"
+            "status {status} without a statement that the request did not run"
         ));
     }
     let crossed = notes.id.is_some() && notes.id != request.id;
     if crossed && !protection::is_disabled("crossed_answer") {
         context.metrics.crossed.inc();
-        return O::Unknown("the answer belongs to another request".into());
+        return O::Unknown("the response belongs to another request".into());
     }
     let failed = status.is_server_error();
     if !failed && (!notes.is_confirmed || notes.is_encoded) {
-        return O::Unknown(format!("the endpoint does not vouch for status {status}"));
+        return O::Unknown(format!("status {status} is not confirmed by the endpoint"));
     }
     if failed && !notes.is_confirmed {
-        return O::Unknown(format!("status {status} without the endpoint's word"));
+        return O::Unknown(format!(
+            "failure status {status} is not confirmed by the endpoint"
+        ));
     }
     O::Completed(OpenResponse { incoming, notes })
 }
 
-/// Whether a caller takes a status as a promise that its request did not run.
+/// Returns whether callers take a status as a promise that the request did not run.
 fn is_promise(status: StatusCode) -> bool {
     matches!(status.as_u16(), 408 | 421 | 429 | 503)
 }
 
-/// Whether a status of an endpoint's own says that the request failed there.
+/// Returns whether a status that the endpoint itself sent means that the request failed.
 pub fn is_failure(status: StatusCode) -> bool {
     status.is_server_error()
 }
 
-/// Headers of a caller that concern only its connection.
+/// Hop-by-hop headers, which apply to the caller's connection only.
 const HOP_HEADERS: [header::HeaderName; 8] = [
     header::CONNECTION,
     header::TRANSFER_ENCODING,
@@ -229,7 +234,8 @@
     header::PROXY_AUTHORIZATION,
 ];
 
-/// The headers of a request that go on to an endpoint.
+/// Returns the headers of a request without the hop-by-hop ones, including those that
+/// its `Connection` header lists.
 pub fn forwarded_headers(headers: &wire::HeaderMap) -> wire::HeaderMap {
     let named = headers
         .get(header::CONNECTION)
--- a/src/serving/attempt_flow.rs
+++ b/src/serving/attempt_flow.rs
@@ -1,4 +1,5 @@
-//! The attempts of a request: where the next one goes, and how each ended.
+//! The attempts of a request: selects the endpoint of the next one and handles the
+//! outcome of each.
 
 use std::{cell, rc, time};
 
@@ -7,36 +8,37 @@
 use super::{attempt, connection, crash_watch, relay, search_pace, slots, slow_attempt, wire};
 use crate::{clock, ids, outcome};
 
-/// Attempts that did not run, beyond which a request that never ran is given
-/// up, and the search of one that did pauses.
+/// Number of consecutive attempts that did not run after which a request that has never
+/// run is refused, and one that has run backs off before it searches on.
 const MAX_NOT_RUN: u32 = 4;
-/// Share of a route's objective after which a caller who was refused may come back.
+/// `Retry-After` of a refused request, as a share of the route's latency objective.
 const RETURN_SHARE: f64 = 1.0;
 
-/// Attempts of one request so far.
+/// The attempts of one request so far.
 #[derive(Default)]
 pub(super) struct AttemptLog {
-    /// Endpoints that were tried in this round of the search.
+    /// Endpoints tried in the current round of the search.
     pub(super) tried: Vec<ids::EndpointId>,
-    /// The endpoint that was tried last.
+    /// The endpoint tried last.
     pub(super) last: Option<ids::EndpointId>,
-    /// Attempts that ran or may have run.
+    /// Number of attempts that ran or may have run.
     pub(super) ran: u32,
-    /// Attempts that did not run.
+    /// Number of attempts that did not run.
     pub(super) not_run: u32,
-    /// Of these, those since the search paused.
+    /// Number of attempts that did not run since the search last backed off.
     refused: u32,
+    /// Backoff of the search after an attempt ended.
     pace: search_pace::SearchPace,
-    /// Pace of the search while the present run is slow, once it was.
+    /// Backoff of the search for a replacement of the current run; set once that run was slow.
     pub(super) slow_pace: cell::Cell<Option<search_pace::SearchPace>>,
-    /// Whether the present attempt went out on a kept connection.
+    /// Whether the current attempt was sent on a pooled connection.
     pub(super) is_kept: rc::Rc<cell::Cell<bool>>,
-    /// When the machine of a slow endpoint was last asked for a connection.
+    /// When a test connection to the host of a slow endpoint was last opened.
     pub(super) checked_at: cell::Cell<Option<clock::BootInstant>>,
 }
 
 impl AttemptLog {
-    /// Notes that an endpoint is tried.
+    /// Records the start of an attempt at an endpoint.
     pub(super) fn begin(&mut self, id: &ids::EndpointId) {
         self.tried.push(id.clone());
         self.last = Some(id.clone());
@@ -44,7 +46,7 @@
         self.checked_at.set(None);
     }
 
-    /// Notes the head of an answer: the next search begins anew.
+    /// Resets the search state after the head of a response arrived.
     fn end_search(&mut self) {
         self.refused = 0;
         self.pace = search_pace::SearchPace::default();
@@ -52,27 +54,27 @@
     }
 }
 
-/// How to go on after an attempt without an answer.
+/// What to do after an attempt that gave no usable response.
 pub(super) enum NextStep {
     Again,
     GiveUp(relay::FinalError),
 }
 
-/// An attempt that went out, and whose head is awaited.
+/// An attempt whose response head is awaited.
 pub(super) struct SentAttempt {
     pub(super) slot: slots::HeldSlot,
     pub(super) sending:
         future::LocalBoxFuture<'static, outcome::AttemptOutcome<attempt::OpenResponse>>,
 }
 
-/// The answer of an attempt, with the place that it holds.
+/// An attempt with a response, and the slot that it holds.
 pub(super) struct Answered {
     pub(super) slot: slots::HeldSlot,
     pub(super) open: attempt::OpenResponse,
 }
 
 impl relay::RequestRelay {
-    /// The service of the next attempt.
+    /// Chooses the service of the next attempt at random by the weights of the route.
     pub(super) fn choose_service(&self) -> Option<ids::ServiceName> {
         let targets = &self.request.route.targets;
         let total: u32 = targets.iter().map(|t| t.weight).sum();
@@ -88,9 +90,12 @@
         chosen.map(|t| t.service.clone())
     }
 
-    /// The next answer with a head, over as many attempts as are allowed.
+    /// Returns the next response, over as many attempts as are allowed.
     ///
-    /// `sent` is an attempt that went out already, if there is one.
+    /// `sent` is an attempt that is already under way, if there is one.
+    ///
+    /// # Errors
+    /// No attempt succeeded, or no further one is allowed.
     pub(super) async fn next_answer(
         &mut self,
         mut sent: Option<Box<SentAttempt>>,
@@ -112,10 +117,13 @@
         }
     }
 
-    /// A place for the next attempt.
+    /// Acquires a slot for the next attempt.
+    ///
+    /// For a request that has run, the search goes on until its deadline; a new request
+    /// is refused at once if there is no slot.
     ///
-    /// A request that has begun to run is not given up for want of a place
-    /// while its caller waits; a new one is refused at once.
+    /// # Errors
+    /// There is no slot, the deadline has passed, or the request is quarantined.
     async fn find_slot(&mut self) -> Result<slots::HeldSlot, relay::FinalError> {
         if self.log.ran > 0 && self.log.refused >= MAX_NOT_RUN {
             self.pause_search().await;
@@ -125,7 +133,7 @@
                 return Err(relay::FinalError::Late);
             }
             if self.log.ran > 0 && self.is_blamed() {
-                let why = "endpoint after endpoint ended under it";
+                let why = "each endpoint that began to run the request crashed";
                 return Err(relay::FinalError::Failed(why.into()));
             }
             match self.request_slot().await? {
@@ -139,12 +147,13 @@
         }
     }
 
-    /// Whether the request is held back, by what came of its own attempts as well.
+    /// Returns whether the request is quarantined, which its own attempts may have caused.
     pub(super) fn is_blamed(&self) -> bool {
         let digest = self.request.forwarded.digest;
         self.context.crashes.is_blamed(digest)
     }
 
+    /// Waits before the next round of the search.
     async fn pause_search(&mut self) {
         self.log.refused = 0;
         let delay = self.log.pace.next_delay().min(self.left());
@@ -163,14 +172,14 @@
             tried,
             objective: self.request.route.objective,
         };
-        // What has begun goes on, also where a new request would not begin.
+        // A request that has run may exceed the capacity at which new ones are refused.
         Ok(match self.log.ran > 0 {
             true => slots::any_slot(&self.context, &request).await,
             false => slots::acquire(&self.context, &request).await,
         })
     }
 
-    /// Whether a request that has begun may still go on somewhere.
+    /// Returns whether a request that has run may still be attempted somewhere.
     fn may_search(&self) -> bool {
         let directory = self.context.fleet.directory.borrow();
         let targets = &self.request.route.targets;
@@ -180,7 +189,7 @@
         is_listed && self.log.ran > 0 && self.attempts_left() > 0
     }
 
-    /// The final word if no place is left: true to what happened before.
+    /// Returns the final error if no slot is left; it states whether an attempt has run.
     fn slot_unavailable(&self, why: slots::SlotUnavailable) -> relay::FinalError {
         if self.log.ran > 0 {
             return relay::FinalError::Failed(format!("an attempt failed, then: {why}"));
@@ -191,8 +200,9 @@
         )
     }
 
-    /// An attempt at a place, on a connection that was made for it if there is
-    /// one; it goes out when it is first awaited.
+    /// Prepares an attempt on a slot; it is sent when it is first polled.
+    ///
+    /// `opened` is a connection opened for it, if there is one.
     pub(super) fn start(
         &self,
         slot: slots::HeldSlot,
@@ -219,7 +229,7 @@
         SentAttempt { slot, sending }
     }
 
-    /// The answer of an attempt, or of another that goes on in its place.
+    /// Waits for the response of an attempt, or of the one that it is handed off to.
     async fn answer_of(&mut self, mut sent: SentAttempt) -> Result<Answered, NextStep> {
         use outcome::AttemptOutcome as O;
         use slow_attempt::Waited as W;
@@ -242,7 +252,7 @@
         }
     }
 
-    /// Counts how an attempt ended; on failure says how to go on.
+    /// Records the outcome of an attempt; returns what to do next if it failed.
     pub(super) fn classify(
         &mut self,
         slot: slots::HeldSlot,
@@ -281,7 +291,8 @@
                 self.log.ran += 1;
                 self.record_attempt(&endpoint.id, "unknown", &why);
                 self.watch_end(&slot, false);
-                // A full queue is silent too: only several in a row eject it.
+                // Not recorded as silent: an endpoint with a full queue gives no response
+                // either. Only several such failures in a row eject it.
                 slot.record_failed(false);
                 Err(self.after_unknown(why))
             }
@@ -290,13 +301,13 @@
 
     fn not_run(&self) -> relay::FinalError {
         if self.log.ran > 0 {
-            return relay::FinalError::Failed("no endpoint took the next attempt".into());
+            return relay::FinalError::Failed("no endpoint accepted the next attempt".into());
         }
         let delay = self.request.route.objective.mul_f64(RETURN_SHARE);
-        relay::FinalError::NotRun(delay, "no endpoint took the request".into())
+        relay::FinalError::NotRun(delay, "no endpoint accepted the request".into())
     }
 
-    /// How to go on after an attempt that may have run.
+    /// Returns what to do after an attempt that may have run.
     pub(super) fn after_unknown(&self, why: String) -> NextStep {
         if self.left().is_zero() {
             return NextStep::GiveUp(relay::FinalError::Late);
@@ -307,13 +318,13 @@
         NextStep::GiveUp(relay::FinalError::Failed(why))
     }
 
-    /// Notes an answer that broke off; whether its endpoint ended is found out beside it.
+    /// Records a truncated response, and starts a check whether its endpoint crashed.
     pub(super) fn record_broken(&self, slot: &slots::HeldSlot, outcome: &str, why: &str) {
         self.record_attempt(&slot.endpoint.id, outcome, why);
         self.watch_end(slot, true);
     }
 
-    /// Has it found out whether the endpoint of a broken attempt ended.
+    /// Starts a background check whether the endpoint of a failed attempt crashed.
     fn watch_end(&self, slot: &slots::HeldSlot, has_head: bool) {
         let run = crash_watch::CutRun {
             digest: self.request.forwarded.digest,
@@ -325,7 +336,7 @@
         crash_watch::begin(&self.context, run);
     }
 
-    /// One line and one count for an attempt that gave no answer.
+    /// Logs and counts an attempt that gave no complete response.
     pub(super) fn record_attempt(&self, id: &ids::EndpointId, outcome: &str, why: &str) {
         self.context
             .metrics
@@ -344,5 +355,5 @@
 }
 
 fn no_answer(waited: time::Duration) -> String {
-    format!("no answer within {} ms", waited.as_millis())
+    format!("no response within {} ms", waited.as_millis())
 }
--- a/src/serving/caller_handler.rs
+++ b/src/serving/caller_handler.rs
@@ -1,4 +1,4 @@
-//! Reads callers' requests and hands each to what serves it.
+//! Reads callers' requests and dispatches each to its handler.
 
 use std::{rc, time};
 
@@ -8,24 +8,28 @@
 use super::{attempt, context, job_calls, relay, request_admission, route_table, wire};
 use crate::{clock, http_server, ids};
 
-/// Time that a caller is taken to wait if it does not say.
+/// Timeout of a request whose caller names none.
 const DEFAULT_TIMEOUT: time::Duration = time::Duration::from_secs(30);
-/// When a caller may come back, in seconds: tries go to another process.
+/// `Retry-After` in seconds of a request that this process refuses.
+///
+/// It is short, as the next try goes to another process.
 const COME_BACK_PAUSE: &str = "0.1";
 
-/// Answers the requests of callers.
+/// Handles the requests of callers.
 #[derive(Clone)]
 pub struct CallerHandler {
     context: rc::Rc<context::ProcessContext>,
 }
 
 impl CallerHandler {
-    /// A handler for a process.
+    /// Creates a handler for a process.
     pub fn new(context: rc::Rc<context::ProcessContext>) -> Self {
         Self { context }
     }
 
-    /// Answers one request; dropped when its caller leaves.
+    /// Handles one request.
+    ///
+    /// The future is dropped when the caller disconnects.
     pub fn handle(
         &self,
         request: actix_http::Request,
@@ -34,7 +38,7 @@
         Box::pin(async move {
             let active = relay::ActiveRequest::begin(&context);
             let mut response = respond(context.clone(), request, active).await;
-            // Also where the stop came while the request was under way.
+            // The process may have begun to stop while the request was active.
             if context.is_stopping() {
                 response
                     .head_mut()
@@ -56,7 +60,7 @@
         return come_back("no desired state is known yet\n");
     }
     if context.refuses_requests() {
-        return come_back("this process is about to stop\n");
+        return come_back("this process is stopping\n");
     }
     let host = host_of(&request);
     let path = request.path().to_owned();
@@ -140,7 +144,7 @@
     relay::serve(context, request, active).await
 }
 
-/// Refuses a request that this process has not begun; another one will serve it.
+/// Refuses a request that has not run, so that its caller retries at another process.
 fn come_back(reason: &'static str) -> http_server::HttpResponse {
     actix_http::Response::build(StatusCode::SERVICE_UNAVAILABLE)
         .insert_header((header::RETRY_AFTER, COME_BACK_PAUSE))
@@ -164,7 +168,7 @@
     named.unwrap_or_default().to_owned()
 }
 
-/// Bytes of a request's head, as it stood on the wire.
+/// Approximates the size in bytes of a request's head on the wire.
 fn head_bytes(request: &actix_http::Request) -> usize {
     let headers: &wire::HeaderMap = request.head().headers();
     let lines = headers.iter();
--- a/src/serving/caller_socket.rs
+++ b/src/serving/caller_socket.rs
@@ -1,10 +1,11 @@
-//! A caller's connection that tells whether a part of an answer still waits in the process.
+//! A caller's connection that tracks whether response bytes still wait to be written.
 
 use std::{cell, io, pin, rc, task};
 
 use tokio::{io as tokio_io, net};
 
-/// A caller's connection; counted while the system has not taken all that was written to it.
+/// A caller's connection, counted in `waiting` while the kernel has not accepted all bytes
+/// written to it.
 ///
 /// Invariant: `waiting` counts this connection exactly while `is_waiting`.
 pub(super) struct CallerSocket {
@@ -14,7 +15,7 @@
 }
 
 impl CallerSocket {
-    /// Wraps a connection that has no answer yet.
+    /// Wraps a connection on which no response was written yet.
     pub(super) fn new(socket: net::TcpStream, waiting: rc::Rc<cell::Cell<usize>>) -> Self {
         Self {
             socket,
@@ -56,7 +57,7 @@
         let is_waiting = match &written {
             task::Poll::Pending => true,
             task::Poll::Ready(Ok(count)) => *count < bytes.len(),
-            // The caller is gone.
+            // The caller has disconnected.
             task::Poll::Ready(Err(_)) => false,
         };
         self.set_waiting(is_waiting);
--- a/src/serving/connection.rs
+++ b/src/serving/connection.rs
@@ -1,8 +1,8 @@
-//! One connection to an endpoint, and the exchange of one request on it.
+//! A connection to an endpoint, and the exchange of one request on it.
 //!
-//! The codec is the HTTP library's; the socket is our own, as the library's
-//! client hides what matters here: whether a byte went out, whether a body
-//! ended or was cut, and whether bytes came that belong to no request.
+//! The codec is the HTTP library's. The socket is handled here, as the library's client
+//! hides whether any byte was sent, whether a body ended or was truncated, and whether
+//! bytes arrived that belong to no request.
 
 use std::{io, net, time};
 
@@ -10,7 +10,7 @@
 use tokio::io::AsyncReadExt as _;
 use tokio_util::codec::{Decoder as _, Encoder as _};
 
-/// A request as it goes out.
+/// A request to be sent.
 #[derive(Debug)]
 pub struct OutgoingRequest {
     /// Method, path and headers.
@@ -19,14 +19,14 @@
     pub body: bytes::Bytes,
 }
 
-/// Why an exchange gave no head of an answer.
+/// The reason why an exchange failed.
 #[derive(Debug, thiserror::Error)]
 pub enum ExchangeError {
     /// The connection was closed or reset.
     #[error("the connection broke: {0}")]
     Broken(#[from] io::Error),
-    /// What came is no answer.
-    #[error("what came is no answer: {0}")]
+    /// The received bytes are not a valid response.
+    #[error("malformed response: {0}")]
     Malformed(String),
 }
 
@@ -37,23 +37,23 @@
     pub address: net::SocketAddr,
     socket: tokio::net::TcpStream,
     buffer: bytes::BytesMut,
-    /// Whether all of the last request's body went out.
+    /// Whether the last request was sent in full.
     sent_whole: bool,
 }
 
-/// How the body of an answer is framed.
+/// How the body of a response is delimited.
 enum BodyFraming {
-    /// There is none.
+    /// There is no body.
     Empty,
-    /// By a length or in chunks.
+    /// By `Content-Length` or chunked transfer encoding.
     Coded(h1::ClientPayloadCodec),
-    /// By the end of the connection.
+    /// By the close of the connection.
     UntilClose,
-    /// It ended.
+    /// The body was read to its end.
     Ended,
 }
 
-/// The head of an answer, and the connection that brings its body.
+/// The head of a response, and the connection from which its body is read.
 pub struct IncomingAnswer {
     /// Status and headers.
     pub head: actix_http::ResponseHead,
@@ -62,14 +62,14 @@
     keep_alive: bool,
 }
 
-/// First size of the read buffer, in bytes.
+/// Initial size of the read buffer, in bytes.
 const BUFFER_BYTES: usize = 2048;
 
 impl EndpointConnection {
-    /// Connects.
+    /// Opens a connection.
     ///
     /// # Errors
-    /// The connection is refused or not made in time.
+    /// The connection failed or was not established within the timeout.
     pub async fn open(address: net::SocketAddr, timeout: time::Duration) -> io::Result<Self> {
         let connecting = tokio::net::TcpStream::connect(address);
         let socket = match tokio::time::timeout(timeout, connecting).await {
@@ -85,17 +85,17 @@
         })
     }
 
-    /// Whether the idle connection is open and nothing came on it.
+    /// Returns whether the idle connection is open and has no unread bytes.
     pub fn is_quiet(&self) -> bool {
         let mut probe = [0; 1];
         let read = self.socket.try_read(&mut probe);
         matches!(read, Err(e) if e.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Sends a request and reads the head of its answer.
+    /// Sends a request and reads the head of its response.
     ///
     /// # Errors
-    /// The connection broke, or what came is no answer.
+    /// The connection broke, or the response is malformed.
     pub async fn exchange(
         mut self,
         request: OutgoingRequest,
@@ -118,7 +118,7 @@
         })
     }
 
-    /// Writes the request; stops when an answer comes before all of it went out.
+    /// Writes the request; stops early if a response arrives before it is sent in full.
     async fn send(&mut self, mut out: &[u8]) -> io::Result<()> {
         self.sent_whole = false;
         while !out.is_empty() {
@@ -140,7 +140,7 @@
         Ok(())
     }
 
-    /// Reads what is there; says whether nothing was.
+    /// Reads the bytes that are available; returns whether there were none.
     fn fill_now(&mut self) -> io::Result<bool> {
         match self.socket.try_read_buf(&mut self.buffer) {
             Ok(0) => Err(io::ErrorKind::UnexpectedEof.into()),
@@ -191,10 +191,10 @@
 }
 
 impl IncomingAnswer {
-    /// The next bytes of the body; nothing at its proper end.
+    /// Returns the next bytes of the body, or `None` at its end.
     ///
     /// # Errors
-    /// The body was cut or is malformed.
+    /// The body was truncated or is malformed.
     pub async fn next_bytes(&mut self) -> Result<Option<bytes::Bytes>, ExchangeError> {
         loop {
             match &mut self.framing {
@@ -220,7 +220,7 @@
         self.keep_alive = false;
         let connection = &mut self.connection;
         if connection.buffer.is_empty() {
-            // A reset is an error here; only an orderly end is the end of the body.
+            // A reset is an error: only an orderly close ends the body.
             let count = connection.socket.read_buf(&mut connection.buffer).await?;
             if count == 0 {
                 self.framing = BodyFraming::Ended;
@@ -230,10 +230,10 @@
         Ok(Some(connection.buffer.split().freeze()))
     }
 
-    /// The connection, if another request may go out on it.
+    /// Returns the connection if it can be reused for another request.
     ///
-    /// Not after an answer that came before the request was read, a body that
-    /// did not end, or bytes behind it that belong to no request.
+    /// It can't if the response came before the request was sent in full, if the body was
+    /// not read to its end, or if bytes follow that belong to no request.
     pub fn into_connection(self) -> Option<EndpointConnection> {
         let ended = matches!(self.framing, BodyFraming::Empty | BodyFraming::Ended);
         let clean = self.connection.sent_whole && self.connection.buffer.is_empty();
--- a/src/serving/connection_pool.rs
+++ b/src/serving/connection_pool.rs
@@ -1,20 +1,21 @@
-//! Idle connections to endpoints, bounded and surely live.
+//! A bounded pool of idle connections to endpoints, each checked before it is reused.
 
 use std::{cell, collections, net, time};
 
 use super::connection;
 use crate::clock;
 
-/// Idle connections kept to one endpoint.
+/// Maximum number of idle connections to one endpoint.
 ///
-/// Eight slots an endpoint are shared by all gateways; a gateway seldom needs
-/// more than two at once.
+/// All gateways share the eight slots of an endpoint; one gateway seldom needs more than
+/// two of them at once.
 const MAX_IDLE_PER_ENDPOINT: usize = 4;
-/// Idle connections kept in all; each is a descriptor and about 4 KB.
+/// Maximum number of idle connections in total; each takes a descriptor and about 4 KB.
 const MAX_IDLE: usize = 512;
-/// Idle time after which a connection is not used again, if the endpoint names none.
+/// Idle timeout of a connection if the endpoint names none.
 const DEFAULT_IDLE: time::Duration = time::Duration::from_secs(2);
-/// Taken off the idle time that an endpoint names: a request must arrive before its end.
+/// Subtracted from the idle timeout that an endpoint names, so that a request arrives
+/// before the endpoint closes the connection.
 const IDLE_MARGIN: time::Duration = time::Duration::from_millis(1000);
 
 struct IdleConnection {
@@ -32,7 +33,7 @@
 }
 
 impl ConnectionPool {
-    /// A connection that is open and quiet, the most recently used one first.
+    /// Takes an idle connection that is still open, the most recently used one first.
     pub fn take(&self, address: net::SocketAddr) -> Option<connection::EndpointConnection> {
         let mut table = self.idle.borrow_mut();
         let list = table.get_mut(&address)?;
@@ -46,7 +47,9 @@
         None
     }
 
-    /// Keeps a connection for the next request.
+    /// Returns a connection to the pool, or closes it if the pool is full.
+    ///
+    /// `idle_limit` is the idle timeout that the endpoint names.
     pub fn put(
         &self,
         connection: connection::EndpointConnection,
@@ -68,15 +71,15 @@
         }
     }
 
-    /// Closes the idle connections to an address: one of them fell silent, and
-    /// the others may have with it.
+    /// Closes the idle connections to an address after one of them gave no response: the
+    /// others may be dead as well.
     pub fn forget(&self, address: net::SocketAddr) {
         let list = self.idle.borrow_mut().remove(&address);
         let closed = list.map_or(0, |list| list.len());
         self.count.set(self.count.get() - closed);
     }
 
-    /// Closes the connections that will not be used again.
+    /// Closes the connections that have expired or were closed by the endpoint.
     pub fn sweep(&self) {
         let now = clock::BootInstant::now();
         let mut table = self.idle.borrow_mut();
@@ -87,12 +90,12 @@
         self.count.set(table.values().map(Vec::len).sum());
     }
 
-    /// Idle connections.
+    /// Returns the number of idle connections.
     pub fn len(&self) -> usize {
         self.count.get()
     }
 
-    /// Whether there is no idle connection.
+    /// Returns whether there is no idle connection.
     pub fn is_empty(&self) -> bool {
         self.count.get() == 0
     }
--- a/src/serving/event_flow.rs
+++ b/src/serving/event_flow.rs
@@ -1,4 +1,5 @@
-//! Streams to callers: each event once and in order, resumed where that is allowed.
+//! Relays event streams to callers: each event once and in order, resumed at another
+//! endpoint where the route allows it.
 
 use std::{io, time};
 
@@ -12,14 +13,14 @@
 };
 use crate::http_server;
 
-/// A stream that is open, and its first event.
+/// An open stream with its first event, which is `None` if the stream is empty.
 pub(super) struct OpenStream {
     answered: attempt_flow::Answered,
     splitter: event_split::EventSplitter,
     first: Option<event_split::RawEvent>,
 }
 
-/// How the wait for an event ended.
+/// Result of the wait for an event.
 enum EventEnd {
     Event(event_split::RawEvent),
     Finished,
@@ -27,9 +28,12 @@
 }
 
 impl RequestRelay {
-    /// A stream whose first event is there, or another answer in whole.
+    /// Returns a stream whose first event has arrived, or any other response in full.
     ///
-    /// `sent` is an attempt that went out already, if there is one.
+    /// `sent` is an attempt that is already under way, if there is one.
+    ///
+    /// # Errors
+    /// No attempt succeeded, or no further one is allowed.
     pub(super) async fn open_stream(
         &mut self,
         mut sent: Option<Box<attempt_flow::SentAttempt>>,
@@ -74,7 +78,10 @@
         }
     }
 
-    /// An answer that is no stream, in whole.
+    /// Reads a response that is not a stream in full.
+    ///
+    /// # Errors
+    /// The body is truncated, or the deadline passed.
     async fn other_answer(
         &self,
         mut answered: attempt_flow::Answered,
@@ -91,7 +98,9 @@
         Ok(Served::Whole(response))
     }
 
-    /// Checks that an event is the next one.
+    /// Checks that an event follows the last one, and records it.
+    ///
+    /// Any other event is treated as a truncated stream.
     fn accept(&mut self, end: EventEnd) -> EventEnd {
         let EventEnd::Event(event) = end else {
             return end;
@@ -99,7 +108,7 @@
         let expected = self.last_event.map(|last| last + 1);
         match expected {
             Some(expected) if event.id != expected => {
-                EventEnd::Cut(format!("event {} came in place of {expected}", event.id))
+                EventEnd::Cut(format!("event {} instead of {expected}", event.id))
             }
             _ => {
                 self.last_event = Some(event.id);
@@ -134,11 +143,11 @@
     }
 }
 
-/// The events of an answer that has begun.
+/// The remaining events of a response whose head was sent.
 struct EventFlow {
     relay: RequestRelay,
     open: Option<Box<OpenStream>>,
-    /// Whether its end was noted.
+    /// Whether its end was recorded.
     is_over: bool,
 }
 
@@ -151,7 +160,9 @@
 }
 
 impl EventFlow {
-    /// The next bytes for the caller; nothing at the proper end of the answer.
+    /// Returns the next bytes for the caller, or `None` at the end of the stream.
+    ///
+    /// An error closes the caller's connection.
     async fn next_piece(&mut self) -> Option<Result<bytes::Bytes, io::Error>> {
         loop {
             let open = self.open.as_mut()?;
@@ -202,7 +213,8 @@
         }
     }
 
-    /// Ends the answer so that the caller does not take what it has for all of it.
+    /// Returns the error that closes the caller's connection, so that the caller does not
+    /// take the truncated stream for a complete one.
     fn give_up(&mut self, reason: &str) -> io::Error {
         let relay = &self.relay;
         log::info!(
@@ -215,7 +227,7 @@
         io::Error::other(reason.to_owned())
     }
 
-    /// Takes the stream up at another endpoint after its run was lost.
+    /// Resumes the stream at another endpoint after its run failed.
     async fn go_on_after(&mut self, reason: String) -> Result<(), String> {
         match self.relay.after_unknown(reason) {
             attempt_flow::NextStep::GiveUp(e) => Err(format!("{e:?}")),
@@ -223,7 +235,7 @@
         }
     }
 
-    /// Takes the stream up after the last event that went out.
+    /// Resumes the stream after the last event that was sent to the caller.
     async fn resume(&mut self, sent: Option<Box<attempt_flow::SentAttempt>>) -> Result<(), String> {
         let served = self.relay.open_stream(sent).await;
         match served {
@@ -231,13 +243,16 @@
                 self.open = Some(open);
                 Ok(())
             }
-            Ok(Served::Whole(response)) => Err(format!("the resumption got {}", response.status())),
+            Ok(Served::Whole(response)) => Err(format!(
+                "the attempt to resume got status {}",
+                response.status()
+            )),
             Err(e) => Err(format!("{e:?}")),
         }
     }
 }
 
-/// Waits for the next whole event.
+/// Waits for the next complete event.
 async fn next_event(
     incoming: &mut connection::IncomingAnswer,
     splitter: &mut event_split::EventSplitter,
--- a/src/serving/event_split.rs
+++ b/src/serving/event_split.rs
@@ -1,21 +1,21 @@
-//! Cuts the bytes of a stream into whole events, and leaves each as it came.
+//! Splits the bytes of a stream into complete events without changing them.
 
 use bytes::Buf as _;
 
-/// Longest event that is accepted, in bytes; beyond it the stream is broken.
+/// Longest event that is accepted, in bytes; a longer one ends the stream with an error.
 const MAX_EVENT_BYTES: usize = 256 << 10;
 
-/// One whole event of a stream.
+/// One complete event of a stream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RawEvent {
-    /// Its index.
+    /// Index from the event's `id` line.
     pub id: u64,
-    /// The event with the blank line that ends it.
+    /// The event, including the blank line that ends it.
     pub bytes: bytes::Bytes,
 }
 
 impl RawEvent {
-    /// The lines of data, joined by line feeds.
+    /// Returns the contents of the `data` lines, joined by line feeds.
     pub fn data(&self) -> String {
         let text = String::from_utf8_lossy(&self.bytes);
         let lines = text.lines().filter_map(|line| line.strip_prefix("data:"));
@@ -24,39 +24,40 @@
     }
 }
 
-/// Why a stream cannot be cut into events.
+/// The reason why a stream cannot be split into events.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum SplitError {
-    /// An event has no index.
+    /// An event has no numeric `id` line.
     #[error("an event of the stream has no index")]
     NoId,
-    /// An event is too long.
+    /// An event is longer than `MAX_EVENT_BYTES`.
     #[error("an event of the stream is longer than {MAX_EVENT_BYTES} bytes")]
     TooLong,
 }
 
-/// Bytes of a stream that are not yet a whole event.
+/// Buffer for the bytes of a stream that don't make up a complete event yet.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     pending: bytes::BytesMut,
+    /// Number of leading bytes of `pending` that were searched for the end of an event.
     scanned: usize,
 }
 
 impl EventSplitter {
-    /// Adds bytes that arrived.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.pending.extend_from_slice(bytes);
     }
 
-    /// Whether part of an event is left.
+    /// Returns whether the buffer holds an incomplete event.
     pub fn has_rest(&self) -> bool {
         !self.pending.is_empty()
     }
 
-    /// The next whole event, if there is one.
+    /// Returns the next complete event, if there is one.
     ///
     /// # Errors
-    /// See [`SplitError`].
+    /// The event has no index or is too long, see [`SplitError`].
     pub fn next_event(&mut self) -> Result<Option<RawEvent>, SplitError> {
         while self.pending.first() == Some(&b'\n') {
             self.pending.advance(1);
--- a/src/serving/listener.rs
+++ b/src/serving/listener.rs
@@ -1,4 +1,4 @@
-//! The listener for callers: one task a connection, bounded in number.
+//! The listener for callers: one task per connection, limited in number.
 
 use std::{cell, convert, io, net, rc, time};
 
@@ -7,23 +7,28 @@
 use super::{caller_handler, caller_socket, context};
 use crate::protection;
 
-/// Connections of callers at once; further ones wait in the system's queue.
+/// Maximum number of open caller connections; further ones wait in the kernel's backlog.
 ///
-/// Half of the smallest instance's 4,100 descriptors; the rest serves endpoints and peers.
+/// About half of the 4,100 descriptors of the smallest instance; the others are for
+/// endpoints and peers.
 const MAX_CONNECTIONS: usize = 2000;
-/// Pause after an accept that failed, as when descriptors have run out.
+/// Delay after a failed accept, such as one without free descriptors.
 const ACCEPT_PAUSE: time::Duration = time::Duration::from_millis(50);
-/// How long an idle connection of a caller is kept. Above the longest idle
-/// limit of a desired state, so that no request crosses the close.
+/// Idle timeout of a caller's connection.
+///
+/// Longer than the longest idle limit in a desired state, so that the caller closes first
+/// and no request is in transit when the connection closes.
 const KEEP_ALIVE: time::Duration = time::Duration::from_secs(20);
-/// Longest wait for a request's head.
+/// Timeout for reading the head of a request.
 const HEAD_TIMEOUT: time::Duration = time::Duration::from_secs(3);
-/// Longest queue of new connections in the system.
+/// Length of the kernel's backlog of new connections.
 const BACKLOG: u32 = 1024;
-/// Largest write to a caller, in bytes: small, as a slow reader holds this much.
+/// Size of the write buffer of a caller's connection, in bytes.
+///
+/// Small, as each slow reader occupies this much memory.
 const WRITE_BUFFER: usize = 16 << 10;
 
-/// Binds an address; one that was just in use may be used again.
+/// Binds an address with `SO_REUSEADDR`, so that a restart doesn't wait for old connections.
 ///
 /// # Errors
 /// The address cannot be bound.
@@ -37,7 +42,7 @@
     socket.listen(BACKLOG)
 }
 
-/// The next connection; nothing after a failure.
+/// Accepts the next connection; returns `None` after a failure, which it logs.
 pub async fn accept(listener: &tokio::net::TcpListener) -> Option<tokio::net::TcpStream> {
     match listener.accept().await {
         Ok((socket, _)) => Some(socket),
@@ -49,7 +54,7 @@
     }
 }
 
-/// Counts an open connection until it is dropped.
+/// Guard that counts an open connection until it is dropped.
 struct OpenConnection {
     count: rc::Rc<cell::Cell<usize>>,
     freed: rc::Rc<tokio::sync::Notify>,
@@ -62,7 +67,7 @@
     }
 }
 
-/// Serves callers, if the process does.
+/// Starts to serve callers if the process has an address for them.
 ///
 /// # Errors
 /// The address cannot be bound.
@@ -79,7 +84,7 @@
             .client_request_timeout(HEAD_TIMEOUT)
             .client_disconnect_timeout(time::Duration::from_secs(1))
             .keep_alive(KEEP_ALIVE)
-            // A caller that closes is seen at once, also while it waits.
+            // Detects at once that a caller closes its connection while it waits for a response.
             .h1_allow_half_closed(protection::is_disabled("caller_close"))
             .h1_write_buffer_size(WRITE_BUFFER)
             .finish(move |request: actix_http::Request| {
--- a/src/serving/owners.rs
+++ b/src/serving/owners.rs
@@ -1,24 +1,25 @@
-//! Works out who owns endpoints and jobs, and looks at all that has an age.
+//! Computes the owners of endpoints and jobs, and expires outdated state periodically.
 
 use std::{collections, rc, time};
 
 use super::{context, crash_guard, job_checkpoints, limit_links, members};
 use crate::{clock, decisions::ownership, ids};
 
-/// How often views with an age are looked at.
+/// Interval between two checks for outdated state.
 const TICK: time::Duration = time::Duration::from_millis(50);
 
-/// How often orders to empty an instance are looked at; also the least time in
-/// which the peers learn that it is leaving.
+/// Interval between two checks of the orders to empty an instance.
+///
+/// Also the minimum time that the peers have to learn that it is draining.
 const ORDER_LOOK: time::Duration = time::Duration::from_millis(600);
 
-/// Time after its start before a gateway may own anything.
+/// Time after the start of a gateway during which it owns nothing.
 const SETTLE_TIME: time::Duration = time::Duration::from_secs(3);
 
-/// Ticks between two sweeps of idle connections.
+/// Number of ticks between two sweeps of idle connections and expired entries.
 const SWEEP_TICKS: u32 = 20;
 
-/// Empties this instance when it is asked to, and answers for instances that are gone.
+/// Empties this instance when ordered to, and reports lost instances as emptied.
 pub(super) async fn follow_orders(context: rc::Rc<context::ProcessContext>) {
     let mut answered = collections::BTreeSet::new();
     loop {
@@ -35,10 +36,10 @@
     }
 }
 
-/// Whether an instance that is to be emptied holds nothing that is needed.
+/// Returns whether an instance that is to be emptied has no active work left.
 ///
-/// What lasts is in the store, so only work under way counts. For an instance
-/// that does not answer any more, the first of the owners speaks.
+/// Durable state is in the store, so only active work counts. For a lost instance, the
+/// first of the owners decides.
 fn is_emptied(context: &context::ProcessContext, id: &ids::InstanceId) -> bool {
     if id == context.id() {
         let told = context.retiring.replace(true);
@@ -52,7 +53,8 @@
     is_lost && is_first && is_settled(context)
 }
 
-/// Looks at what has an age: owners, expired entries, idle connections, permits.
+/// Refreshes the owners and expires directory entries, idle connections and permits, until
+/// the process stops.
 pub(super) async fn tick(context: rc::Rc<context::ProcessContext>) {
     let mut changes = context.fleet.subscribe();
     let mut ticks = 0_u32;
@@ -80,8 +82,9 @@
     }
 }
 
-/// Forgets what was learned of runs of endpoints that ended, as they started again:
-/// the new run has no requests, and no connection of the old one brings anything.
+/// Discards loads, health and connections of endpoints that have restarted.
+///
+/// The new run has no requests yet, and connections to the old one are dead.
 fn forget_ended_runs(context: &context::ProcessContext) {
     let ended = context.fleet.directory.borrow_mut().take_ended_runs();
     for run in ended {
@@ -95,20 +98,23 @@
     }
 }
 
-/// Whether this process follows the store: the first few owners do, and any
-/// that hears none who does.
+/// Returns whether this process follows the store.
+///
+/// The first few owners do, as does any process that receives no heartbeats from one that
+/// follows it.
 fn is_follower(context: &context::ProcessContext, now: clock::MonotonicTime) -> bool {
     let owners = context.owners();
     let mut first = owners.iter().take(members::FOLLOWERS);
     first.any(|o| o.id == *context.id()) || !context.members.borrow().hears_follower(now)
 }
 
-/// Whether the process runs for long enough to have heard its live peers.
+/// Returns whether the process has run for long enough to have received heartbeats from
+/// all live peers.
 fn is_settled(context: &context::ProcessContext) -> bool {
     context.age() > SETTLE_TIME
 }
 
-/// Ends places that nobody gave back for longer than any request may take.
+/// Releases slots that were held for longer than any request may take.
 fn expire_permits(context: &context::ProcessContext, now: clock::MonotonicTime) {
     let expired = context.permits.borrow_mut().expire(now);
     for (endpoint, holder) in &expired {
@@ -119,8 +125,8 @@
     }
 }
 
-/// Ends what processes hold that have not been heard for a while, or held before they
-/// started again.
+/// Releases what is held by processes that sent no heartbeat for a while, or by earlier
+/// runs of processes that have restarted.
 pub(super) fn release_ended(context: &context::ProcessContext) {
     let now = context.clock.now();
     let members = context.members.borrow();
@@ -128,17 +134,17 @@
         |holder: &ids::InstanceRun| *holder != context.run && members.has_ended(holder, now);
     let released = context.permits.borrow_mut().release_ended(has_ended);
     if released > 0 {
-        log::info!("event=places_released count={released} why=\"their holders ended\"");
+        log::info!("event=places_released count={released} why=\"the holders ended\"");
         context.jobs.work.notify_one();
     }
 }
 
-/// Works out who owns what, and tells the parts that hang on it.
+/// Recomputes the owners, and updates or notifies the tasks that depend on them.
 pub(super) fn refresh_owners(context: &rc::Rc<context::ProcessContext>) {
     let now = context.clock.now();
     let own = (!context.is_leaving()).then_some(&context.options.member);
-    // A gateway that has just started has not heard the dispatchers yet, or
-    // knows of none as the store was away: it would run all their jobs again.
+    // A gateway that has just started has no heartbeats of the dispatchers yet, or does not
+    // know them as the store was unreachable: it would run all their jobs again.
     let may_own = is_settled(context) && context.members_known.get();
     let own = own.filter(|m| m.role == members::MemberRole::Dispatcher || may_own);
     let owners = context.members.borrow().owners(own, now);
@@ -166,7 +172,7 @@
     }
 }
 
-/// Works out which endpoints this process owns, from all that are listed.
+/// Recomputes which of the listed endpoints this process owns.
 fn refresh_owned(context: &rc::Rc<context::ProcessContext>) {
     let directory = context.fleet.directory.borrow();
     let owners = context.owners();
--- a/src/serving/permits.rs
+++ b/src/serving/permits.rs
@@ -1,5 +1,5 @@
-//! Places at the endpoints that this process owns: online requests by permit,
-//! batch streams in what they leave.
+//! Slots at the endpoints that this process owns: permits for online requests, and batch
+//! streams in the slots that these leave free.
 
 use std::{collections, fmt, num, rc, time};
 
@@ -10,54 +10,57 @@
     ids,
 };
 
-/// Longest life of a permit that is not released; above the longest request's time limit.
+/// TTL of a permit that is not released; longer than the longest request timeout.
 pub(super) const PERMIT_TTL: time::Duration = time::Duration::from_secs(15);
-/// Permits given back before they were asked for that are remembered: those of a second
-/// in which an owner stood still, at some hundred requests a second.
+/// Number of remembered releases that arrived before the request that they belong to.
+///
+/// Covers an owner that was suspended for a second at some hundred requests a second.
 const MAX_RETURNED: num::NonZeroUsize = num::NonZeroUsize::new(1024).expect("it is not zero");
-/// Places that batch work leaves free at each endpoint.
+/// Number of slots that batch work leaves free at each endpoint.
 ///
-/// The next online request finds one without a cancellation; streams are
-/// taken back for the others.
+/// The next online request gets one without a cancellation; for further ones, batch
+/// streams are preempted.
 const HEADROOM: u32 = 1;
 
-/// How long an endpoint gives no places that refused, as it is full, though its ledger
-/// has room: work that its owner does not know of is there, or slots were taken from
-/// it. It refuses within a round trip and then looks free, so without a pause it is
+/// Backoff of an endpoint that refused a request as full although its ledger shows a free
+/// slot.
+///
+/// Such an endpoint has work that its owner does not know of, or fewer slots than before.
+/// It refuses within a round trip and then appears free, so without a backoff it would be
 /// chosen again at once.
 ///
-/// Requests last about half a second, so that of eight slots one is free again each
-/// 60 ms. The work of an owner that was lost is gone after a few seconds, and an
-/// endpoint that has room must not stand idle for longer than a request lasts.
+/// Requests last about half a second, so one of eight slots becomes free about every
+/// 60 ms. The work of a lost owner ends after a few seconds, and an endpoint with free
+/// slots must not be idle for longer than a request lasts.
 const REFUSAL_PAUSES: endpoint_backoff::BackoffRange = endpoint_backoff::BackoffRange {
     first: time::Duration::from_millis(60),
     last: time::Duration::from_millis(960),
     spread: 0.3,
 };
 
-/// A place for an online request.
+/// A slot granted to an online request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct GrantedSlot {
     /// The endpoint.
     pub endpoint: ids::EndpointId,
-    /// Batch streams there that have to go for it.
+    /// Batch streams at the endpoint that must be cancelled for it.
     pub preempted: Vec<admission::StreamNumber>,
 }
 
-/// Why a service has no place for a request: what stands in the way at its endpoints.
+/// Diagnosis of a denied request: the state of the service's endpoints at this owner.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct SlotDenial {
-    /// Owned endpoints of the service.
+    /// Number of owned endpoints of the service.
     pub endpoints: usize,
-    /// Those that the asker does not want.
+    /// Number of these that the request excludes.
     pub unwanted: usize,
-    /// Those that refused lately, or are not known to be there.
+    /// Number of these that are backed off after a refusal, or are unverified and in use.
     pub closed: usize,
-    /// Online requests that have places at them.
+    /// Number of online requests that hold slots at them.
     pub online: u32,
-    /// Processes that hold these places.
+    /// Number of processes that hold these slots.
     pub holders: usize,
-    /// How long the oldest place has been held.
+    /// Age of the oldest held slot.
     pub oldest: time::Duration,
 }
 
@@ -76,43 +79,43 @@
     }
 }
 
-/// Where a permit was given, and to whom.
+/// The endpoint and the holder of a permit.
 #[derive(Debug, Clone)]
 struct PermitHolder {
     endpoint: ids::EndpointId,
     holder: ids::InstanceRun,
     expiry: clock::MonotonicTime,
-    /// When it was given, if a slot was free then.
+    /// When it was granted; `None` if the request had to queue at the endpoint.
     begun: Option<clock::MonotonicTime>,
 }
 
-/// Who has a slot for a batch stream of another instance.
+/// The borrower of a slot for a batch stream.
 #[derive(Debug, Clone)]
 struct SlotBorrower {
     holder: ids::InstanceRun,
-    /// Number of the question that it was lent to.
+    /// Number of the request by which it was borrowed.
     request: u64,
 }
 
-/// The ledgers of the owned endpoints.
+/// The ledgers of the owned endpoints, with the holders of their slots.
 ///
 /// Invariant: each permit of `holders` is in the ledger of its endpoint.
 #[derive(Debug)]
 pub struct PermitBoard {
     ledgers: collections::HashMap<ids::EndpointId, OwnedLedger>,
     holders: collections::HashMap<admission::PermitNumber, PermitHolder>,
-    /// Batch streams that other instances run here.
+    /// Batch streams that other instances run in borrowed slots.
     lent: collections::HashMap<(ids::EndpointId, admission::StreamNumber), SlotBorrower>,
-    /// How long online requests of a service hold a slot.
+    /// Estimates of how long online requests of a service hold a slot.
     holds: collections::HashMap<ids::ServiceName, queue_limit::HoldTimeEstimate>,
-    /// Permits, and questions for slots, that were given back and not known.
+    /// Numbers of permits and of batch requests that were released before they arrived.
     ///
-    /// An owner that stood still may read what came on a newer link first: the word that
-    /// nobody waits for a place any more, and then the request for it.
+    /// An owner that was suspended may read a newer link first, and so receive the release
+    /// of a slot before the request for it.
     returned: lru::LruCache<admission::PermitNumber, ()>,
-    /// Endpoints that refused lately.
+    /// Endpoints that are backed off after a refusal.
     refusals: endpoint_backoff::EndpointBackoff,
-    /// Endpoints that give one place at a time, until they are known to be there.
+    /// Endpoints whose identity is not confirmed; each gets one request at a time until then.
     doubtful: collections::HashSet<ids::EndpointId>,
 }
 
@@ -132,13 +135,12 @@
         }
     }
 
-    /// Places that an online request could have now, those of batch streams included.
+    /// Returns the number of slots for online requests, including those of batch streams.
     fn free_online_slots(&self) -> u32 {
         self.entry.slots.saturating_sub(self.ledger.online())
     }
 
-    /// Places in the endpoint's queue that an online request could have now,
-    /// if so many may wait.
+    /// Returns the number of free slots in the endpoint's queue if it has `queue` slots.
     fn free_queue_slots(&self, queue: u32) -> u32 {
         let most = self.entry.slots + queue;
         most.saturating_sub(self.ledger.online().max(self.entry.slots))
@@ -158,7 +160,8 @@
     admission::AdmissionSpec {
         policy: admission::BatchPolicy::FixedPreempt,
         max_sequences: entry.slots,
-        // What may wait beyond hangs on the objective of each request.
+        // The length of the queue depends on the objective of each request, and is
+        // checked in `acquire`.
         max_online: u32::MAX,
         fixed_streams: entry.slots,
         permit_ttl: PERMIT_TTL,
@@ -183,8 +186,10 @@
 }
 
 impl PermitBoard {
-    /// Takes the list of owned endpoints; gives those that are owned no more, and
-    /// those that started again: what they had is gone.
+    /// Replaces the list of owned endpoints.
+    ///
+    /// Returns the endpoints that are no longer owned or have restarted; their permits and
+    /// streams are dropped.
     pub fn set_owned(
         &mut self,
         owned: &[rc::Rc<directory::EndpointEntry>],
@@ -212,15 +217,16 @@
         gone
     }
 
-    /// Takes the endpoints that may not be the ones at their address.
+    /// Sets the endpoints at whose address another endpoint may respond.
     pub fn set_doubtful(&mut self, doubtful: collections::HashSet<ids::EndpointId>) {
         self.doubtful = doubtful;
     }
 
-    /// A place for an online request, unless all endpoints are full.
+    /// Grants a slot to an online request unless all endpoints are full.
     ///
-    /// Prefers a free place near the asker; where none is free, the endpoint
-    /// with the fewest online requests gives one up.
+    /// Prefers an endpoint with a free slot, the least loaded one first and among equals
+    /// one in the domain of the requester. If none is free, the endpoint with the fewest
+    /// online requests gives up a batch stream or queues the request.
     pub fn acquire(
         &mut self,
         request: &peers::OnlineSlotRequest,
@@ -269,7 +275,7 @@
         })
     }
 
-    /// What stands in the way of a request that got no place.
+    /// Returns why a request got no slot.
     pub fn denial(
         &self,
         request: &peers::OnlineSlotRequest,
@@ -299,14 +305,15 @@
         }
     }
 
-    /// Requests that may wait at an endpoint, each for so long.
+    /// Returns how many requests may queue at an endpoint if each may wait for `wait`.
     fn queue_of(&self, owned: &OwnedLedger, wait: time::Duration) -> u32 {
         let hold = self.holds.get(&owned.entry.service).copied();
         hold.unwrap_or_default().queue(owned.entry.slots, wait)
     }
 
-    /// Ends the permit of a request that was served, and learns from it; gives
-    /// its endpoint if it was known.
+    /// Releases the permit of a served request and records how long it was held.
+    ///
+    /// Returns its endpoint if the permit is known.
     pub fn release_served(
         &mut self,
         number: admission::PermitNumber,
@@ -322,7 +329,7 @@
         Some(endpoint)
     }
 
-    /// Ends a permit; gives its endpoint if it was known.
+    /// Releases a permit; returns its endpoint if the permit is known.
     pub fn release(&mut self, number: admission::PermitNumber) -> Option<ids::EndpointId> {
         let Some(holder) = self.holders.remove(&number) else {
             self.returned.put(number, ());
@@ -334,7 +341,7 @@
         Some(holder.endpoint)
     }
 
-    /// Ends all permits and batch streams of processes that ended; gives their number.
+    /// Releases all permits and batch streams of processes that ended; returns their number.
     pub fn release_ended(&mut self, has_ended: impl Fn(&ids::InstanceRun) -> bool) -> usize {
         let held = self.holders.iter().filter(|(_, h)| has_ended(&h.holder));
         let held: Vec<_> = held.map(|(number, _)| *number).collect();
@@ -350,7 +357,7 @@
         released
     }
 
-    /// Who holds a batch stream, if it is another instance.
+    /// Removes and returns the borrower of a batch stream, if another instance runs it.
     pub fn borrower(
         &mut self,
         endpoint: &ids::EndpointId,
@@ -360,12 +367,12 @@
         Some(borrower.holder.instance)
     }
 
-    /// The owned endpoints.
+    /// Returns the owned endpoints.
     pub fn owned(&self) -> impl Iterator<Item = &rc::Rc<directory::EndpointEntry>> {
         self.ledgers.values().map(|owned| &owned.entry)
     }
 
-    /// The owned endpoints that are left out for failing.
+    /// Returns the owned endpoints that are ejected for failures.
     pub fn shunned(
         &self,
         loads: &selection::LoadBoard,
@@ -374,7 +381,7 @@
         loads.shunned(self.ledgers.len(), |id| self.ledgers.contains_key(id), now)
     }
 
-    /// Batch streams that a peer may begin, up to the number that it asks for.
+    /// Lends slots for batch streams to a peer, up to the requested number.
     pub fn lend_batch(
         &mut self,
         request: &peers::BatchSlotRequest,
@@ -400,8 +407,9 @@
         lent
     }
 
-    /// Ends the batch streams that were lent to a question whose answer did not come. The
-    /// word of it may overtake the question.
+    /// Ends the batch streams lent to a request whose response was lost.
+    ///
+    /// The cancellation may arrive before the request, and is then remembered.
     pub fn cancel_lent(&mut self, request: u64) {
         let lent = self.lent.iter().filter(|(_, b)| b.request == request);
         let lent: Vec<_> = lent.map(|(key, _)| key.clone()).collect();
@@ -413,34 +421,33 @@
         }
     }
 
-    /// Notes that an owned endpoint refused a request that had a place there: it has
-    /// less room than its ledger says, and gives no places for a while.
+    /// Records that an owned endpoint refused a request that held a slot, and backs the
+    /// endpoint off, as it has fewer free slots than its ledger shows.
     pub fn record_refused(&mut self, endpoint: &ids::EndpointId, now: clock::MonotonicTime) {
         if self.ledgers.contains_key(endpoint) {
             self.refusals.record(endpoint, now, &mut rand::rng());
         }
     }
 
-    /// Notes that an endpoint served one who had a place there.
+    /// Records that an endpoint served a request that held a slot, which ends its backoff.
     pub fn record_served(&mut self, endpoint: &ids::EndpointId) {
         self.refusals.forget(endpoint);
     }
 
-    /// Lets owned endpoints give places again that refused a while ago; says whether
-    /// there were any.
+    /// Ends the backoffs that have expired; returns whether there were any.
     pub fn reopen(&mut self, now: clock::MonotonicTime) -> bool {
         self.refusals.expire(now)
     }
 
-    /// Whether nobody holds a place here.
+    /// Returns whether no slot is held.
     pub fn is_empty(&self) -> bool {
         self.holders.is_empty() && self.lent.is_empty()
     }
 
-    /// Ends the permits that expired, and gives where they were and whose: nobody gave
-    /// them back, which is a fault of their holders or of the links to them.
+    /// Releases the expired permits; returns their endpoints and holders.
     ///
-    /// A ledger drops its own when it gives a place; one that is full gives none.
+    /// An expired permit is a fault of its holder or of the link to it. A ledger drops
+    /// expired permits only when it grants a slot, which a full one never does.
     pub fn expire(
         &mut self,
         now: clock::MonotonicTime,
@@ -454,32 +461,32 @@
         ended.collect()
     }
 
-    /// Whether a permit was given back that is not known here; it is told once.
+    /// Returns whether a number was released before its request arrived, and forgets it.
     pub fn take_returned(&mut self, number: admission::PermitNumber) -> bool {
         self.returned.pop(&number).is_some()
     }
 
-    /// Whether endpoints of a service are owned here.
+    /// Returns whether this process owns endpoints of a service.
     pub fn owns(&self, service: &ids::ServiceName) -> bool {
         self.owned().any(|entry| entry.service == *service)
     }
 
-    /// Places that online requests of a service could have now.
+    /// Returns the number of slots of a service that online requests can get now.
     pub fn free_online_slots(&self, service: &ids::ServiceName) -> u32 {
         self.of_service(service)
             .map(OwnedLedger::free_online_slots)
             .sum()
     }
 
-    /// Places in queues that online requests of a service could have now, each
-    /// of which can wait for so long.
+    /// Returns the number of free queue slots of a service for requests that may wait for
+    /// `wait`.
     pub fn free_queue_slots(&self, service: &ids::ServiceName, wait: time::Duration) -> u32 {
         let owned = self.of_service(service);
         let free_slots = owned.map(|owned| owned.free_queue_slots(self.queue_of(owned, wait)));
         free_slots.sum()
     }
 
-    /// The owned endpoints of a service that may give places.
+    /// Returns the owned endpoints of a service that may grant slots.
     fn of_service<'a>(
         &'a self,
         service: &'a ids::ServiceName,
@@ -492,7 +499,7 @@
         })
     }
 
-    /// The room of each service with owned endpoints.
+    /// Returns the free slots of each service with owned endpoints.
     pub fn free_slots(&self) -> Vec<(ids::ServiceName, u32)> {
         let mut services: Vec<_> = self.owned().map(|entry| entry.service.clone()).collect();
         services.sort();
@@ -504,7 +511,7 @@
         free_slots.collect()
     }
 
-    /// Begins a batch stream at the owned endpoint of `service` with the most free places.
+    /// Begins a batch stream at the owned endpoint of `service` with the most free slots.
     pub fn begin_batch(
         &mut self,
         service: &ids::ServiceName,
@@ -527,7 +534,7 @@
         Some((best.entry.clone(), number))
     }
 
-    /// Ends a batch stream; one that was taken back is not known any more.
+    /// Ends a batch stream; does nothing if it was preempted before.
     pub fn end_batch(&mut self, endpoint: &ids::EndpointId, number: admission::StreamNumber) {
         self.lent.remove(&(endpoint.clone(), number));
         if let Some(owned) = self.ledgers.get_mut(endpoint) {
@@ -535,7 +542,7 @@
         }
     }
 
-    /// Online requests and batch streams at all owned endpoints.
+    /// Returns the numbers of online requests and of batch streams at all owned endpoints.
     pub fn totals(&self) -> (u32, u32) {
         let ledgers = self.ledgers.values().map(|owned| &owned.ledger);
         ledgers.fold((0, 0), |(online, batch), ledger| {
--- a/src/serving/relay.rs
+++ b/src/serving/relay.rs
@@ -1,4 +1,4 @@
-//! Carries one request of a caller to its answer.
+//! Relays one request of a caller to endpoints and returns the final response.
 
 use std::{rc, time};
 
@@ -10,37 +10,37 @@
 };
 use crate::{clock, decisions::crash_ledger::CrashVerdict, http_server, ids};
 
-/// Outcome of a request whose answer an endpoint gave to its end.
+/// Outcome of a request that got a complete response from an endpoint.
 pub(super) const ANSWERED: &str = "answered";
 
-/// What the caller of a request is told that is held back.
+/// Response body for a request that is quarantined for crashing endpoints.
 const HELD_BODY: &str = "held back: each endpoint that began to run this request crashed\n";
 
-/// A request of a caller under way.
+/// An active request of a caller.
 pub struct CallerRequest {
-    /// Its route.
+    /// Route that the request matched.
     pub route: std::sync::Arc<route_table::Route>,
-    /// What goes to endpoints.
+    /// The request as it is forwarded to endpoints.
     pub forwarded: rc::Rc<attempt::ForwardedRequest>,
-    /// What the caller said.
+    /// Terms from the head of the request.
     pub terms: wire::CallerTerms,
-    /// When its final answer is due.
+    /// Deadline of the final response.
     pub deadline: clock::BootInstant,
-    /// When it came.
+    /// When the request arrived.
     pub arrived: clock::BootInstant,
-    /// What was spent of its workspace's limit.
+    /// Token spent for it from the rate limit of its workspace.
     pub(super) token: Option<request_admission::SpentToken>,
-    /// The workspace that it is served for.
+    /// Workspace that the request is served for.
     pub workspace: Option<ids::WorkspaceId>,
 }
 
-/// Counts a request under way until its answer has gone or its caller has left.
+/// Guard that counts an active request until its response was sent or its caller left.
 pub struct ActiveRequest {
     context: rc::Rc<context::ProcessContext>,
 }
 
 impl ActiveRequest {
-    /// Begins to count.
+    /// Counts a request until the guard is dropped.
     pub fn begin(context: &rc::Rc<context::ProcessContext>) -> Self {
         context.active.set(context.active.get() + 1);
         Self {
@@ -58,30 +58,32 @@
 /// The final refusal or failure of a request.
 #[derive(Debug)]
 pub enum FinalError {
-    /// It did not run and will not: the caller may come back after this time.
+    /// It did not run and will not; the caller may retry after this time.
     NotRun(time::Duration, String),
-    /// It did not run: it is held back for so long, as it crashes endpoints.
+    /// It did not run; it is quarantined for this time, as it crashes endpoints.
     Held(time::Duration),
-    /// It may have run and failed.
+    /// It may have run, and failed.
     Failed(String),
-    /// Its time is over.
+    /// Its deadline has passed.
     Late,
 }
 
-/// One request on its way through attempts.
+/// The state of one request over all its attempts.
 pub(super) struct RequestRelay {
     pub(super) context: rc::Rc<context::ProcessContext>,
     pub(super) request: CallerRequest,
     pub(super) log: attempt_flow::AttemptLog,
-    /// Index of the last event that went to the caller, or that it named itself.
+    /// Index of the last event sent to the caller, or of the one after which the caller
+    /// resumes a stream.
     pub(super) last_event: Option<u64>,
+    /// Whether the head of a stream was sent to the caller.
     pub(super) started: bool,
-    /// Time from its arrival to the first event that went to the caller.
+    /// Time from the arrival of the request to the first event sent to the caller.
     first_event: std::cell::Cell<Option<time::Duration>>,
     _active: ActiveRequest,
 }
 
-/// Serves a request to its final answer.
+/// Serves a request and returns its final response.
 pub async fn serve(
     context: rc::Rc<context::ProcessContext>,
     request: CallerRequest,
@@ -99,7 +101,7 @@
     };
     let id = relay.request.terms.id.as_deref().unwrap_or("-");
     let digest = relay.request.forwarded.digest;
-    // Known to be in vain, so it is not let wait for a place.
+    // A quarantined request must not wait for a slot.
     let verdict = crash_guard::admit_settled(&relay.context, digest, id).await;
     if let CrashVerdict::Held(left) = verdict {
         return relay.refuse(&FinalError::Held(left));
@@ -118,28 +120,30 @@
     }
 }
 
-/// What a request came to.
+/// The response of a request.
 pub(super) enum Served {
     Whole(http_server::HttpResponse),
     Stream(actix_http::ResponseHead, Box<event_flow::OpenStream>),
 }
 
 impl RequestRelay {
+    /// Returns the time left until the deadline.
     pub(super) fn left(&self) -> time::Duration {
         let now = clock::BootInstant::now();
         self.request.deadline.duration_since(now)
     }
 
-    /// Resolves when the caller's time is over.
+    /// Resolves when the deadline of the request has passed.
     pub(super) async fn time_over(&self) {
         suspension::time_over(&self.context, || self.left()).await;
     }
 
+    /// Returns whether the request may run more than once.
     pub(super) fn may_repeat(&self) -> bool {
         self.request.route.kind.is_repeatable()
     }
 
-    /// Attempts that may still run.
+    /// Returns how many more attempts may run.
     pub(super) fn attempts_left(&self) -> u32 {
         let allowed = match self.may_repeat() {
             true => self.request.route.max_attempts,
@@ -148,10 +152,10 @@
         allowed.saturating_sub(self.log.ran)
     }
 
-    /// Waits for an endpoint, and suspects it when it takes longer than the objective.
+    /// Waits for an endpoint, and reports a failure if it takes longer than the objective.
     ///
-    /// A request that may run once has to go on waiting; others can be spared
-    /// the endpoint by then.
+    /// The wait goes on, as the request may not run elsewhere; the report lets other
+    /// requests avoid the endpoint.
     pub(super) async fn suspecting<T>(
         &self,
         slot: &slots::HeldSlot,
@@ -172,7 +176,10 @@
         waiting.await
     }
 
-    /// A whole answer, held back until it is complete.
+    /// Returns a response that is buffered until it is complete.
+    ///
+    /// # Errors
+    /// No attempt succeeded, or no further one is allowed.
     async fn full_response(&mut self) -> Result<Served, FinalError> {
         loop {
             let mut answered = self.next_answer(None).await?;
@@ -201,6 +208,7 @@
         }
     }
 
+    /// Builds the caller's response from an endpoint's head and full body.
     pub(super) fn whole(
         &self,
         head: &actix_http::ResponseHead,
@@ -212,13 +220,14 @@
         response.body(body).map_into_boxed_body()
     }
 
+    /// Closes the caller's connection after the response if the process is stopping.
     pub(super) fn mark_close(&self, response: &mut actix_http::ResponseBuilder) {
         if self.context.is_stopping() {
             response.force_close();
         }
     }
 
-    /// Keeps the connection of an answer that is complete.
+    /// Records a complete response and returns its connection to the pool.
     pub(super) fn give_back(&self, answered: attempt_flow::Answered) {
         if !attempt::is_failure(answered.open.incoming.head.status) {
             answered.slot.record_served();
@@ -229,6 +238,7 @@
         }
     }
 
+    /// Records the time to the first event.
     pub(super) fn observe_first(&self) {
         let duration = self.request.arrived.elapsed();
         self.first_event.set(Some(duration));
@@ -236,7 +246,7 @@
         metrics.observe(&metrics.first_token, self.series(), self.label(), duration);
     }
 
-    /// Whose series of metrics it counts in: those of its workspace, or of its route.
+    /// Returns the label of its metric series: its workspace, or its route if it has none.
     fn series(&self) -> &str {
         let workspace = self.request.workspace.as_ref();
         workspace.map_or(&self.request.route.name, |id| id.as_str())
@@ -246,7 +256,7 @@
         self.request.route.kind.label()
     }
 
-    /// One line and one count for the end of a request.
+    /// Logs and counts the end of a request.
     pub(super) fn record_end(&self, outcome: &str, status: u16) {
         let spent = self.request.arrived.elapsed();
         if outcome == ANSWERED {
@@ -272,6 +282,7 @@
         );
     }
 
+    /// Builds the response for an error; refunds the token if the request did not run.
     fn refuse(&mut self, error: &FinalError) -> http_server::HttpResponse {
         let (outcome, status) = match error {
             FinalError::NotRun(..) => ("refused", StatusCode::SERVICE_UNAVAILABLE),
--- a/src/serving/request_admission.rs
+++ b/src/serving/request_admission.rs
@@ -1,4 +1,4 @@
-//! Admits a caller's request: whose it is, and whether that workspace may send it.
+//! Admits a caller's request: identifies its workspace and applies that one's rate limit.
 
 use std::{rc, sync, time};
 
@@ -13,33 +13,34 @@
     http_server, ids, protection,
 };
 
-/// When a caller may return whose key is not known here yet: its next attempt goes to
-/// another gateway.
+/// `Retry-After` for a key that this process does not know yet.
+///
+/// It is short, as the next try goes to another gateway.
 const UNDECIDED_PAUSE: time::Duration = time::Duration::from_millis(100);
-/// Scheme that callers authenticate with.
+/// Authentication scheme in the `WWW-Authenticate` header.
 const CHALLENGE: &str = "Token";
 
 /// The workspace that a request is served for, if it has one.
 pub(super) type CallerWorkspace = Option<sync::Arc<workspace_table::WorkspaceSpec>>;
 
-/// A token that was spent for a request.
+/// A rate-limit token spent for a request.
 pub(super) struct SpentToken {
     context: rc::Rc<context::ProcessContext>,
     workspace: ids::WorkspaceId,
 }
 
 impl SpentToken {
-    /// Gives it back, as the request was not run.
+    /// Refunds the token, as the request did not run.
     pub(super) fn give_back(self) {
         let now = self.context.clock.now();
         self.context.limiter.give_back(&self.workspace, now);
     }
 }
 
-/// Finds out whose a request is.
+/// Identifies the workspace of a request by its API key.
 ///
 /// # Errors
-/// The answer to a request that is not served.
+/// The response that rejects the request.
 pub(super) fn identify(
     context: &context::ProcessContext,
     table: &route_table::RouteTable,
@@ -66,7 +67,7 @@
     }
 }
 
-/// Whether the view of keys may be out of date.
+/// Returns whether the known API keys may be out of date.
 fn key_view(context: &context::ProcessContext, version: route_table::StateVersion) -> KeyFreshness {
     let now = context.clock.now();
     let members = context.members.borrow();
@@ -135,10 +136,10 @@
         .map_into_boxed_body()
 }
 
-/// Holds a request to the limit of its workspace.
+/// Spends a token of the rate limit of a request's workspace, if it has one.
 ///
 /// # Errors
-/// The answer to a request that is not served.
+/// The response that rejects the request.
 pub(super) async fn admit(
     context: &rc::Rc<context::ProcessContext>,
     workspace: &CallerWorkspace,
@@ -186,14 +187,16 @@
     Err(refused(status, delay, body))
 }
 
-/// Digits of a workspace in the names of its jobs.
+/// Number of digits of a workspace's digest in the ids of its jobs.
 const SCOPE_DIGITS: usize = 16;
 
-/// The name under which a job is kept: workspaces do not see each other's jobs, also
-/// where their names are the same.
+/// Returns the id under which a job is stored.
+///
+/// It includes a digest of the workspace, so that jobs of the same name in different
+/// workspaces stay separate.
 ///
 /// # Errors
-/// The name is too long for it.
+/// The resulting id is too long.
 pub(super) fn scoped_job(
     job: &ids::JobId,
     workspace: Option<&ids::WorkspaceId>,
--- a/src/serving/search_pace.rs
+++ b/src/serving/search_pace.rs
@@ -1,20 +1,20 @@
-//! The pace at which a place is asked for again after there was none.
+//! Backoff between two requests for a slot while there is none.
 
 use std::time;
 
-/// First pause of a search.
+/// First delay of a search.
 ///
-/// Requests last about half a second, so that of eight slots one is free again
-/// each 60 ms: asked sooner, an owner says the same.
+/// Requests last about half a second, so one of an endpoint's eight slots becomes free
+/// about every 60 ms: an earlier request would get the same reply.
 const INITIAL_DELAY: time::Duration = time::Duration::from_millis(50);
-/// Longest pause of a search.
+/// Longest delay of a search.
 ///
-/// Guards owners and links in a time in which many streams are slow at once:
-/// each asks three owners at most, 2.5 times a second. Half of the pause that
-/// routes allow between events is of the same size.
+/// Limits the load on owners and links while many streams are slow at once: each stream
+/// queries at most three owners, 2.5 times a second. Half of the gap that routes allow
+/// between two events is about as long.
 const MAX_DELAY: time::Duration = time::Duration::from_millis(400);
 
-/// The pace of one search; each pause is twice the one before.
+/// Backoff of one search; each delay is twice the previous one.
 #[derive(Debug, Clone, Copy)]
 pub struct SearchPace {
     next: time::Duration,
@@ -29,7 +29,7 @@
 }
 
 impl SearchPace {
-    /// The next pause.
+    /// Returns the next delay and doubles the one after it.
     pub fn next_delay(&mut self) -> time::Duration {
         let delay = self.next;
         self.next = (delay * 2).min(MAX_DELAY);
--- a/src/serving/selection.rs
+++ b/src/serving/selection.rs
@@ -1,4 +1,4 @@
-//! Which endpoint a request goes to, from what this process knows itself.
+//! Selects an endpoint for a request by the loads and failures that this process knows.
 
 use std::{collections, rc, time};
 
@@ -7,34 +7,34 @@
 use super::{directory, wire};
 use crate::{clock, decisions::health, ids};
 
-/// Age after which an endpoint's own report says nothing more: requests last about this long.
+/// Age after which an endpoint's load report is outdated; requests last about this long.
 const REPORT_AGE: time::Duration = time::Duration::from_millis(500);
 
-/// Share of a service's endpoints that may be left out at once, in percent.
+/// Largest share of a service's endpoints that may be ejected at once, in percent.
 const MAX_SHUNNED_PERCENT: usize = 40;
 
-/// What is known of the load of one endpoint.
+/// Known load of one endpoint.
 #[derive(Debug, Clone, Default)]
 struct EndpointLoad {
-    /// Requests of this process under way.
+    /// Number of active requests of this process.
     own: u32,
-    /// Requests of others under way at the latest report.
+    /// Number of active requests of other processes at the latest report.
     others: u32,
     reported_at: Option<clock::MonotonicTime>,
 }
 
-/// Loads and health of endpoints, as one process sees them.
+/// Loads and health of endpoints, as observed by one process.
 #[derive(Debug, Default)]
 pub struct LoadBoard {
     loads: collections::HashMap<ids::EndpointId, EndpointLoad>,
-    /// Which endpoints are left out for failing this process.
+    /// Health by the failures of this process's own requests.
     pub health: health::HealthTracker,
-    /// Which owned endpoints are left out for failing those who got places there.
+    /// Health of owned endpoints by the reports of processes that held slots there.
     reported: health::HealthTracker,
 }
 
 impl LoadBoard {
-    /// Counts a request that goes to the endpoint.
+    /// Counts the start of a request at the endpoint.
     pub fn begin(&mut self, id: &ids::EndpointId) {
         match self.loads.get_mut(id) {
             Some(load) => load.own += 1,
@@ -42,13 +42,13 @@
         }
     }
 
-    /// Takes the word of a holder of a place that the endpoint served it.
+    /// Records the report of a slot holder that the endpoint served its request.
     pub fn record_served(&mut self, id: &ids::EndpointId) {
         self.reported.record_success(id);
     }
 
-    /// Takes the word of a holder of a place that the endpoint failed; says
-    /// whether the endpoint is left out for it from now on.
+    /// Records the report of a slot holder that the endpoint failed; returns whether the
+    /// endpoint is ejected for it from now on.
     pub fn record_peer_failure(
         &mut self,
         id: &ids::EndpointId,
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Takes an endpoint's own report.
+    /// Records the load that an endpoint reported.
     pub fn record_report(
         &mut self,
         id: &ids::EndpointId,
@@ -80,17 +80,19 @@
         load.reported_at = Some(now);
     }
 
-    /// Takes an endpoint's refusal: it had as many requests as it takes.
+    /// Records that an endpoint refused a request because all its slots are in use.
     ///
-    /// Without it the endpoint would look free to this process, and its refusals fast.
+    /// Without this record the endpoint would appear free and would be chosen again at
+    /// once, as it refuses faster than it serves.
     pub fn record_full(&mut self, endpoint: &directory::EndpointEntry, now: clock::MonotonicTime) {
         let load = self.loads.entry(endpoint.id.clone()).or_default();
         load.others = load.others.max(endpoint.slots);
         load.reported_at = Some(now);
     }
 
-    /// Forgets what was learned of an endpoint that started again, but for the
-    /// requests of this process, which end by themselves.
+    /// Discards what is known of an endpoint that has restarted.
+    ///
+    /// The count of this process's own requests stays, as each of them ends by itself.
     pub fn forget(&mut self, id: &ids::EndpointId) {
         if let Some(load) = self.loads.get_mut(id) {
             load.others = 0;
@@ -100,7 +102,7 @@
         self.reported.forget(id);
     }
 
-    /// Requests at the endpoint, as far as known.
+    /// Returns the known number of active requests at the endpoint.
     pub fn load_of(&self, id: &ids::EndpointId, now: clock::MonotonicTime) -> u32 {
         let Some(load) = self.loads.get(id) else {
             return 0;
@@ -114,17 +116,18 @@
         load.own + others
     }
 
-    /// Forgets the endpoints that are no longer listed.
+    /// Discards the endpoints that are no longer listed, except those with active requests.
     pub fn retain(&mut self, listed: impl Fn(&ids::EndpointId) -> bool) {
         self.loads.retain(|id, load| load.own > 0 || listed(id));
         self.health.retain(&listed);
         self.reported.retain(listed);
     }
 
-    /// Endpoints of a list that are left out for failing; none if they are too
-    /// many, as then the fault is likely elsewhere and the others would be flooded.
+    /// Returns the endpoints of a list that are ejected for failures.
     ///
-    /// `count` is the length of the list. Only those that failed are walked over.
+    /// Returns none if their share exceeds `MAX_SHUNNED_PERCENT`: the fault is then likely
+    /// elsewhere, and the other endpoints would be overloaded. `count` is the length of the
+    /// list. The cost depends only on the number of ejected endpoints.
     pub fn shunned(
         &self,
         count: usize,
@@ -139,8 +142,8 @@
         }
     }
 
-    /// The endpoint with the least known load: healthy and untried ones first,
-    /// near ones among equals, then any.
+    /// Chooses an untried endpoint: healthy ones first, then the least known load, then
+    /// those in the given domain, then at random.
     pub fn choose(
         &self,
         candidates: &[rc::Rc<directory::EndpointEntry>],
--- a/src/serving/slots.rs
+++ b/src/serving/slots.rs
@@ -1,4 +1,5 @@
-//! A place for an online request: asked of an owner, or taken on this process's own counts.
+//! Slots for online requests: requested from an owner, or chosen by this process's own
+//! counts.
 
 use std::{cell, net, rc, time};
 
@@ -9,14 +10,16 @@
     ids, outcome,
 };
 
-/// Longest wait for an owner; a round trip takes 1 to 4 ms, so it is lost or overloaded then.
+/// Timeout of a request to an owner.
+///
+/// A round trip takes 1 to 4 ms, so an owner that takes longer is lost or overloaded.
 const OWNER_TIMEOUT: time::Duration = time::Duration::from_millis(40);
-/// Owners that are asked before the request goes ahead or is refused.
+/// Maximum number of owners queried before a request is sent without a permit or refused.
 const OWNERS_ASKED: usize = 3;
-/// Places that an owner is taken to have before it said so.
+/// Number of free slots assumed of an owner that has not reported any.
 const UNKNOWN_ROOM: u32 = 8;
 
-/// A place that is held until this is dropped.
+/// A slot that is held until this value is dropped.
 pub struct HeldSlot {
     context: rc::Rc<context::ProcessContext>,
     /// The endpoint.
@@ -27,12 +30,12 @@
 }
 
 impl HeldSlot {
-    /// When it was taken.
+    /// Returns when the slot was acquired.
     pub fn taken(&self) -> clock::MonotonicTime {
         self.taken
     }
 
-    /// Notes that the endpoint served the request, or goes on doing so.
+    /// Records that the endpoint served the request, or has begun its response.
     pub fn record_served(&self) {
         let mut loads = self.context.loads.borrow_mut();
         loads.health.record_success(&self.endpoint.id);
@@ -44,7 +47,7 @@
         }
     }
 
-    /// Notes that the endpoint goes on, if it was taken for failed.
+    /// Records that the endpoint makes progress after a failure was recorded.
     pub fn record_progress(&self) {
         if !self.is_served.replace(true) {
             let mut loads = self.context.loads.borrow_mut();
@@ -52,13 +55,15 @@
         }
     }
 
-    /// Notes that the endpoint failed, or did not answer at all, and tells its owner.
+    /// Records that the endpoint failed, and reports it to the owner.
+    ///
+    /// `is_silent` says that it gave no response at all.
     pub fn record_failed(&self, is_silent: bool) {
         self.is_served.set(false);
         self.tell(endpoint_reports::failure(&self.context, is_silent));
     }
 
-    /// Notes that the endpoint did not run an attempt, and tells its owner.
+    /// Records that the endpoint did not run an attempt, and reports it to the owner.
     pub fn record_refused(&self, reason: outcome::NotRunReason) {
         self.is_served.set(false);
         endpoint_reports::count_refusal(&self.context, reason);
@@ -77,7 +82,7 @@
     }
 }
 
-/// Where a permit is to be released.
+/// The process at which a permit is to be released.
 enum HeldPermit {
     Here(admission::PermitNumber),
     Peer(net::SocketAddr, admission::PermitNumber),
@@ -92,55 +97,55 @@
     }
 }
 
-/// Why there is no place.
+/// The reason why there is no slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum SlotUnavailable {
     /// No endpoint of the service is listed, or all were tried.
     #[error("no endpoint of the service is left")]
     NoEndpoint,
-    /// All endpoints hold as much as they may.
+    /// All endpoints are at their limits.
     #[error("all endpoints of the service are full")]
     Full,
 }
 
-/// What one owner said.
+/// The reply of one owner.
 enum OwnerReply {
     Slot(HeldSlot),
     None(SlotReply),
 }
 
-/// What an owner said that gave no place.
+/// The reply of an owner that granted no slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SlotReply {
-    /// There is none; so many places are left in queues.
+    /// All slots are in use; holds the number of free slots in queues.
     Full(u32),
     /// It owns no endpoint of the service.
     NotOwner,
-    /// It gave no answer.
+    /// It gave no usable response.
     Silent,
 }
 
-/// Whether a service is full: all owners that were asked and own a part of it say so.
+/// Returns whether a service is full: every queried owner of its endpoints replied so.
 pub fn all_full(replies: &[SlotReply]) -> bool {
     let is_full = |word: &SlotReply| matches!(word, SlotReply::Full(_));
     replies.iter().any(is_full) && !replies.contains(&SlotReply::Silent)
 }
 
-/// What a place is to be for.
+/// The parameters of a request for a slot.
 #[derive(Debug, Clone, Copy)]
 pub struct SlotParams<'a> {
     /// The service that is to serve it.
     pub service: &'a ids::ServiceName,
-    /// Endpoints that were tried.
+    /// Endpoints that were tried before and are excluded.
     pub tried: &'a [ids::EndpointId],
-    /// Time within which its first event is to come.
+    /// Latency objective for the first event.
     pub objective: time::Duration,
 }
 
-/// Finds a place for a request.
+/// Acquires a slot for a new request.
 ///
 /// # Errors
-/// See [`SlotUnavailable`].
+/// All endpoints are full or were tried, see [`SlotUnavailable`].
 pub async fn acquire(
     context: &rc::Rc<context::ProcessContext>,
     request: &SlotParams<'_>,
@@ -155,10 +160,10 @@
     }
 }
 
-/// Asks a few owners for a free slot.
+/// Requests a free slot from a few owners in turn.
 ///
 /// # Errors
-/// None gave one: what each of them said.
+/// None granted one; holds the reply of each.
 pub(super) async fn request_slot<'a>(
     context: &rc::Rc<context::ProcessContext>,
     request: &SlotParams<'_>,
@@ -175,7 +180,7 @@
     Err(replies)
 }
 
-/// Finds a place where a new request would be refused too, for one that has begun.
+/// Acquires a slot for a request that has run, even if a new request would be refused.
 ///
 /// # Errors
 /// No endpoint is left.
@@ -189,7 +194,7 @@
     }
 }
 
-/// Asks a few owners for a free place, and if all are full for one in a queue.
+/// Requests a free slot from a few owners, and if all are full, a slot in a queue.
 async fn query_owners(
     context: &rc::Rc<context::ProcessContext>,
     request: &SlotParams<'_>,
@@ -227,7 +232,7 @@
     OwnerReply::None(SlotReply::Full(0))
 }
 
-/// Chooses on this process's own counts.
+/// Chooses an endpoint by this process's own counts, without a permit.
 ///
 /// # Errors
 /// No endpoint is left.
@@ -253,7 +258,7 @@
     })
 }
 
-/// The owners in the order in which they are asked.
+/// Returns the owners in the order in which they are queried.
 pub(super) fn owner_order(
     context: &context::ProcessContext,
     service: &ids::ServiceName,
@@ -261,7 +266,7 @@
     let free_slots = context.free_slots.borrow();
     let owners = context.owners();
     let is_heard = |id: &ids::InstanceId| id == context.id() || context.receives_from(id);
-    // A service of few endpoints has few owners: the others need not be asked.
+    // A service with few endpoints has few owners; the others need not be queried.
     let owns = |id: &ids::InstanceId| free_slots.contains_key(&(id.clone(), service.clone()));
     let is_told = owners.iter().any(|owner| owns(&owner.id));
     let asked = owners.iter().filter(|owner| is_heard(&owner.id));
@@ -290,7 +295,8 @@
         entry.is_some_and(|e| e.service == *service)
     };
     let loads = context.loads.borrow();
-    // What failed this process may serve others: its owner need not know.
+    // An endpoint that fails for this process may serve others, so it is excluded from
+    // this request only.
     let shunned = loads.shunned(count, is_listed, context.clock.now());
     let mut unwanted = tried.to_vec();
     unwanted.extend(shunned.into_iter().filter(|id| !tried.contains(id)));
@@ -305,7 +311,9 @@
     }
 }
 
-/// Asks an owner through a gateway that hears it, if this process is cut off.
+/// Requests a slot through a relay if this process is cut off from the owners.
+///
+/// The relay is a gateway that receives heartbeats from them.
 pub(super) async fn request_from_relay(
     context: &rc::Rc<context::ProcessContext>,
     request: &SlotParams<'_>,
@@ -332,12 +340,12 @@
     }
 }
 
-/// Asks the owners for a peer that is cut off from them.
+/// Requests a slot from the owners on behalf of a peer that is cut off from them.
 pub async fn request_for_peer(
     context: &rc::Rc<context::ProcessContext>,
     mut request: peers::OnlineSlotRequest,
 ) -> Option<peers::OnlineSlotResponse> {
-    // The owners do not hear the peer, and would take its places back.
+    // The owners receive no heartbeats from the peer, and would release its slots.
     request.holder = context.run.clone();
     let number = request.number;
     let owners = owner_order(context, &request.service);
@@ -352,7 +360,7 @@
             Ok(response) if response.endpoint.is_some() => {
                 let permit = HeldPermit::Peer(address, number);
                 if context.permits.borrow_mut().take_returned(number) {
-                    // The peer gave up waiting before the owner answered.
+                    // The peer stopped waiting before the owner responded.
                     end_permit(context, &permit, false);
                     return None;
                 }
@@ -387,7 +395,7 @@
             Err(e) => {
                 count_permit(context, "silent");
                 set_free_slots(context, owner, service, 0);
-                // The grant may come late: it must not hold a place until it expires.
+                // The owner may still grant the slot, which would be held until it expires.
                 end_permit(context, &HeldPermit::Peer(address, number), false);
                 log::info!("event=owner_silent owner={owner} why=\"{e}\"");
                 return OwnerReply::None(SlotReply::Silent);
@@ -425,7 +433,9 @@
     context.metrics.permits.with_label_values(&[outcome]).inc();
 }
 
-/// The place that an answer gives, if its endpoint is listed here.
+/// Returns the slot granted by a response, if its endpoint is listed here.
+///
+/// Otherwise the permit is released.
 fn take_answer(
     context: &rc::Rc<context::ProcessContext>,
     from: &ids::InstanceId,
@@ -435,7 +445,9 @@
     let id = response.endpoint?;
     let found = context.fleet.directory.borrow().usable(&id).cloned();
     let Some(endpoint) = found else {
-        log::info!("event=place_refused endpoint={id} from={from} why=\"not listed here\"");
+        log::info!(
+            "event=place_refused endpoint={id} from={from} why=\"the endpoint is not listed here\""
+        );
         end_permit(context, &permit, false);
         return None;
     };
@@ -450,7 +462,7 @@
     })
 }
 
-/// Gives a permit back.
+/// Releases a permit at the process that granted it.
 fn end_permit(context: &context::ProcessContext, permit: &HeldPermit, is_served: bool) {
     let release = |number| peers::SlotRelease { number, is_served };
     match *permit {
--- a/src/serving/slow_attempt.rs
+++ b/src/serving/slow_attempt.rs
@@ -1,10 +1,11 @@
-//! Waits for an endpoint that is slow: it is left only for a place in hand elsewhere.
+//! Waits for a slow endpoint, and hands its request off only once another endpoint has a
+//! slot for it.
 //!
-//! An endpoint whose connection is open may be at work, and its silence is no
-//! reason to end an answer. After a while a place at another endpoint is
-//! asked for while the first answer is waited for on; whatever comes first counts.
-//! Only a free slot will do, as a queue may be slower still, but for two cases:
-//! the endpoint's machine takes no connection, or not even a head came for long.
+//! An endpoint whose connection is open may still be working, so a delay alone is no reason
+//! to abort its response. After a while, a slot at another endpoint is requested while the
+//! wait for the first one goes on; whichever comes first is used. Only a free slot
+//! qualifies, as a queue may be slower still. There are two exceptions: the endpoint's host
+//! accepts no connection, or the head of the response has not arrived for a long time.
 
 use std::{rc, time};
 
@@ -13,33 +14,37 @@
 use super::{attempt, attempt_flow, connection, context, directory, relay, search_pace, slots};
 use crate::{clock, ids, outcome};
 
-/// Part of an objective after which a silent attempt is taken for slow.
+/// Share of the latency objective after which an attempt without a response is slow.
 const SILENCE_SHARE: f64 = 0.8;
-/// Part of the longest pause between events after which a stream is taken for slow.
+/// Share of the longest allowed gap between events after which a stream is slow.
 const GAP_SHARE: f64 = 0.5;
-/// How long a slow run is kept, unread, for the word of the endpoint that is to go on.
+/// How long a slow run is kept, unread, until the next endpoint has accepted the request.
 ///
-/// Guards a run against being given up for an endpoint that refuses. A refusal
-/// takes a round trip, 1 to 4 ms, and its turn on busy processors. Two runs of
-/// one request at once must last for less than 400 ms; this is a quarter of it.
+/// Prevents that a run is aborted for an endpoint that refuses. A refusal takes a round
+/// trip of 1 to 4 ms, and longer on busy processors. Two runs of one request may overlap
+/// for less than 400 ms; this is a quarter of it.
 const HANDOVER_TIME: time::Duration = time::Duration::from_millis(100);
 
-/// How many times as long as for a free slot a head is waited for until a place in a
-/// queue elsewhere will do: no work is seen to be lost, and a kept connection may be silent for good.
+/// Multiple of the time to a slow head after which a slot in a queue elsewhere qualifies.
+///
+/// Without a head, no visible progress is lost by a move, and the pooled connection may be
+/// dead.
 const QUEUE_WAITS: u32 = 2;
-/// Least time between two connections that ask whether a slow endpoint's machine
-/// is there. Each costs the endpoint about 1 ms; a run may be slow at each event.
+/// Minimum interval between two test connections to the host of a slow endpoint.
+///
+/// Each costs the endpoint about 1 ms, and a run may be slow at each event.
 const CHECK_PAUSE: time::Duration = time::Duration::from_secs(1);
 
-/// How long bytes of a run may be on their way after its endpoint is known to have
-/// started again: the list is told later than the fastest link brings them, and a
-/// stream whose events still come, 60 ms apart at most, is not ended by its list.
+/// Grace time for the last bytes of a run after its endpoint is listed with a new start.
+///
+/// The list is updated after the fastest link delivers these bytes. A stream whose events
+/// still arrive, at most 60 ms apart, must not be aborted by the update.
 const LAST_BYTES_TIME: time::Duration = time::Duration::from_millis(150);
 
-/// What is awaited of an endpoint.
+/// The part of a response that is awaited.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Awaited {
-    /// The head of its answer.
+    /// The head of the response.
     Head,
     /// The first event of a stream.
     FirstEvent,
@@ -47,18 +52,19 @@
     NextEvent,
 }
 
-/// How a wait for an endpoint ended.
+/// Result of a wait for an endpoint.
 pub(super) enum Waited<T> {
-    /// What was awaited came, or the connection broke.
+    /// The awaited part arrived, or the connection broke.
     Came(T),
-    /// Another endpoint goes on, the slow one is to be left now; with the time waited.
+    /// Another endpoint has taken over and the slow one is to be abandoned; holds the time
+    /// waited.
     Moved(Box<attempt_flow::SentAttempt>, time::Duration),
-    /// The caller's time is over, or the endpoint is gone; with the time waited.
+    /// The deadline passed, or the endpoint is gone; holds the time waited.
     Lost(time::Duration),
 }
 
 impl relay::RequestRelay {
-    /// Time after which an endpoint is taken for slow; none if no other may go on.
+    /// Returns the time after which an endpoint is slow, or `None` if no other may take over.
     fn slow_after(&self, awaited: Awaited) -> Option<time::Duration> {
         let (duration, share) = match awaited {
             Awaited::NextEvent => (self.request.route.gap_objective?, GAP_SHARE),
@@ -67,9 +73,9 @@
         self.may_move(awaited).then(|| duration.mul_f64(share))
     }
 
-    /// Whether one more attempt may run beside what ran so far.
+    /// Returns whether another attempt may run in addition to those so far.
     fn may_move(&self, awaited: Awaited) -> bool {
-        // An attempt counts as run from its head on.
+        // An attempt is counted in `ran` only once its head has arrived.
         let least = match awaited {
             Awaited::Head => 2,
             Awaited::FirstEvent | Awaited::NextEvent => 1,
@@ -77,7 +83,7 @@
         self.attempts_left() >= least && !self.is_blamed()
     }
 
-    /// Waits for an endpoint to the end of the caller's time, or until another goes on.
+    /// Waits for an endpoint until the deadline, or until another endpoint takes over.
     pub(super) async fn wait_or_move<T>(
         &mut self,
         slot: &slots::HeldSlot,
@@ -124,7 +130,8 @@
         }
     }
 
-    /// Whether the machine of a slow endpoint is to be asked for a connection.
+    /// Returns whether a test connection to the host of a slow endpoint is due, and records
+    /// it.
     fn begin_check(&self) -> bool {
         let now = clock::BootInstant::now();
         let checked_at = self.log.checked_at.get();
@@ -135,7 +142,7 @@
         is_due
     }
 
-    /// Waits for the only endpoint that may run the request.
+    /// Waits for an endpoint whose request no other may take over.
     async fn wait_alone<T>(
         &self,
         slot: &slots::HeldSlot,
@@ -159,9 +166,9 @@
         }
     }
 
-    /// Notes a run that is slow for the first time; the owner hears of it.
+    /// Logs and reports a slow run, unless it was slow before.
     ///
-    /// A run whose every event is late would else be told of with each.
+    /// Without this check, a run that is late with each event would be reported each time.
     fn record_slow(&self, slot: &slots::HeldSlot, awaited: Awaited, waited: time::Duration) {
         if self.log.slow_pace.get().is_some() {
             return;
@@ -174,16 +181,16 @@
             self.left().as_millis(),
         );
         if awaited == Awaited::Head {
-            // A kept connection may be silent for good, and others with it.
+            // The pooled connection may be dead, and others to the same address with it.
             self.context.pool.forget(slot.endpoint.address);
         }
         slot.record_failed(awaited == Awaited::NextEvent);
     }
 
-    /// Sends the request to the next endpoint; gives the attempt unless it failed at once.
+    /// Sends the request to the next endpoint; returns the attempt unless it failed at once.
     ///
-    /// The slow run is not read meanwhile: its events still count if this fails,
-    /// and none of them goes out twice if it does not.
+    /// The slow run is not read meanwhile: its events are still used if the handoff fails,
+    /// and no event is sent twice if it succeeds.
     async fn hand_over(&mut self, found: FoundSlot) -> Option<attempt_flow::SentAttempt> {
         let opened = match found.connection {
             Ok(opened) => opened,
@@ -209,7 +216,7 @@
         Some(sent)
     }
 
-    /// Whether an attempt goes on with the request.
+    /// Returns whether an endpoint accepted the request that is handed off to it.
     fn goes_on(&self, told: &outcome::AttemptOutcome<attempt::OpenResponse>) -> bool {
         let outcome::AttemptOutcome::Completed(open) = told else {
             return false;
@@ -218,7 +225,7 @@
         status.is_success() || (!self.started && !attempt::is_failure(status))
     }
 
-    /// Counts an attempt that does not go on, as any other.
+    /// Records an attempt that did not take over, as any other failed one.
     fn record_not_moved(
         &mut self,
         slot: slots::HeldSlot,
@@ -231,23 +238,23 @@
     }
 }
 
-/// A place elsewhere, and the connection to its endpoint.
+/// A slot at another endpoint, and the connection to that endpoint.
 ///
-/// It is made before the slow run is put aside, and always anew: a kept one
-/// may be silent, and so be worse than the slow run.
+/// The connection is opened while the slow run is still read. It is always a new one, as a
+/// pooled connection may be dead.
 struct FoundSlot {
     slot: slots::HeldSlot,
     connection: Result<connection::EndpointConnection, outcome::NotRunProof>,
 }
 
-/// The search for a place elsewhere while an endpoint is slow.
+/// The search for a slot at another endpoint while one is slow.
 struct SlowSearch {
     slow: ids::EndpointId,
-    /// Endpoints that are not asked for in this round.
+    /// Endpoints excluded in this round.
     passed_over: Vec<ids::EndpointId>,
-    /// From when on a place in a queue will do, if ever.
+    /// Time from which a slot in a queue qualifies; `None` for never.
     queue_from: Option<clock::BootInstant>,
-    /// Whether the connection of the slow run may be silent for good: it was kept.
+    /// Whether the slow run uses a pooled connection, which may be dead.
     may_be_silent: bool,
 }
 
@@ -261,12 +268,12 @@
         }
     }
 
-    /// The next place, whenever there is one.
+    /// Waits for the next slot.
     async fn next_slot(&mut self, relay: &relay::RequestRelay) -> FoundSlot {
         loop {
             Self::delay(relay).await;
             let Some(slot) = self.send_request(relay).await else {
-                // Those that refused or failed may take it in the next round.
+                // Endpoints that refused or failed may accept the request in the next round.
                 self.passed_over = vec![self.slow.clone()];
                 continue;
             };
@@ -275,9 +282,10 @@
         }
     }
 
-    /// Pauses, but before the first place that is asked for in a run.
+    /// Waits before a request for a slot, except before the first one of a run.
     ///
-    /// A run that is slow at each event brings its answer: it asks no more often.
+    /// The backoff is kept between events, so that a run that is slow at each event does not
+    /// request slots more often.
     async fn delay(relay: &relay::RequestRelay) {
         let Some(mut pace) = relay.log.slow_pace.get() else {
             relay
@@ -291,7 +299,10 @@
         tokio::time::sleep(delay).await;
     }
 
-    /// Asks once. An answer that comes too late is taken, and its place given back.
+    /// Requests a slot once.
+    ///
+    /// The request is a task of its own, so that a late response is still received and its
+    /// slot released.
     async fn send_request(&self, relay: &relay::RequestRelay) -> Option<slots::HeldSlot> {
         let service = relay.choose_service()?;
         let may_queue = self
@@ -299,8 +310,8 @@
             .is_some_and(|at| at <= clock::BootInstant::now());
         let mut tried = self.passed_over.clone();
         if !self.has_others(relay, &service) {
-            // A new connection to the same endpoint will do where the kept one may be
-            // silent: else its caller would wait for nothing to the end of its time.
+            // A new connection to the same endpoint qualifies if the pooled one may be
+            // dead: otherwise the caller would wait in vain until its deadline.
             if !may_queue || !self.may_be_silent {
                 return None;
             }
@@ -328,7 +339,7 @@
         }
     }
 
-    /// Whether the service has an endpoint that was not passed over.
+    /// Returns whether the service has an endpoint that is not excluded.
     fn has_others(&self, relay: &relay::RequestRelay, service: &ids::ServiceName) -> bool {
         let directory = relay.context.fleet.directory.borrow();
         let listed = directory.of_service(service);
@@ -336,8 +347,9 @@
     }
 }
 
-/// Resolves when the machine of a slow endpoint takes no connection: its silence
-/// is for good, and even a place in a queue elsewhere is better.
+/// Resolves if the host of a slow endpoint accepts no connection.
+///
+/// The endpoint will then not respond any more, and even a queue elsewhere is better.
 async fn machine_gone(
     endpoint: rc::Rc<directory::EndpointEntry>,
     left: time::Duration,
@@ -355,8 +367,10 @@
     future::pending().await
 }
 
-/// Resolves a moment after the endpoint is listed with another start than the one that
-/// has the request: nothing of it comes any more but what is on its way.
+/// Resolves after the endpoint is listed with a new start.
+///
+/// The run that has the request has ended then; `LAST_BYTES_TIME` is left for bytes that
+/// are still in transit.
 async fn run_ended(
     context: rc::Rc<context::ProcessContext>,
     endpoint: rc::Rc<directory::EndpointEntry>,
@@ -364,15 +378,18 @@
     context.fleet.other_start(&endpoint).await;
     tokio::time::sleep(LAST_BYTES_TIME).await;
     log::info!(
-        "event=run_ended endpoint={} why=\"it started again\"",
+        "event=run_ended endpoint={} why=\"the endpoint restarted\"",
         endpoint.id
     );
 }
 
-/// Finds a free slot, not a queue, for a request that is at work elsewhere.
+/// Finds a free slot, not one in a queue, for a request that runs at a slow endpoint.
+///
+/// This process's own counts are used only while it receives no heartbeats from any owner.
+/// An owner that is alive but slow to respond has a bad link, and so may the endpoint.
 ///
-/// This process's own counts are used only while it hears no owner: one that
-/// is heard but late has a bad link between, as may the slow endpoint have.
+/// # Errors
+/// There is no free slot.
 async fn free_slot(
     context: &rc::Rc<context::ProcessContext>,
     request: &slots::SlotParams<'_>,
--- a/src/serving/wire.rs
+++ b/src/serving/wire.rs
@@ -1,4 +1,4 @@
-//! The border to the wire: how requests, attempts and jobs are spelled.
+//! The interface to a wire format: how requests, attempts and jobs are encoded.
 
 use std::time;
 
@@ -7,70 +7,70 @@
 use super::workspaces::api_key;
 use crate::ids;
 
-/// What a caller's head says beyond method and path.
+/// Terms from the head of a caller's request.
 #[derive(Debug, Clone, Default)]
 pub struct CallerTerms {
-    /// Name of the request; each try of a caller has its own.
+    /// Request id; each try of a caller has its own.
     pub id: Option<String>,
-    /// How long the caller waits.
+    /// Time for which the caller waits.
     pub timeout: Option<time::Duration>,
-    /// Event after which the caller wants a stream to go on.
+    /// Index of the event after which the caller resumes a stream.
     pub resume_after: Option<u64>,
-    /// Its credentials.
+    /// API key that the caller presents.
     pub key: api_key::PresentedKey,
 }
 
-/// What an attempt tells an endpoint beyond the caller's request.
+/// Terms of an attempt that are sent to the endpoint in addition to the caller's request.
 #[derive(Debug, Clone, Copy)]
 pub struct AttemptTerms<'a> {
-    /// The endpoint that is to run it, and no other.
+    /// The only endpoint that may run it.
     pub endpoint: &'a ids::EndpointId,
-    /// How long the answer is waited for, if that is bounded.
+    /// Time for which the response is awaited, if it is limited.
     pub timeout: Option<time::Duration>,
-    /// Event after which a stream is to go on.
+    /// Index of the event after which a stream is resumed.
     pub resume_after: Option<u64>,
 }
 
-/// What an endpoint says of its load.
+/// The load that an endpoint reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReportedLoad {
-    /// Requests that run.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests that wait for a slot.
+    /// Number of requests that wait for a slot.
     pub waiting: u32,
 }
 
-/// What the head of an answer says.
+/// Metadata from the head of a response.
 #[derive(Debug, Clone, Default)]
 pub struct ResponseMetadata {
-    /// The endpoint says that the request did not run.
+    /// Whether the endpoint states that the request did not run.
     pub not_run: bool,
-    /// The request expects another endpoint than the one that answers.
+    /// Whether the request was meant for another endpoint than the responding one.
     pub other_endpoint: bool,
-    /// The endpoint that answers, if it says so.
+    /// The responding endpoint, if it names itself.
     pub answered_by: Option<String>,
-    /// Name of the request that is answered.
+    /// Id of the request that the response belongs to.
     pub id: Option<String>,
-    /// Whether the endpoint vouches for the answer.
+    /// Whether the endpoint confirms that the response is its own.
     pub is_confirmed: bool,
-    /// The body is encoded on the way, so it is not the endpoint's own.
+    /// Whether the body was encoded by an intermediary, so that it is not the endpoint's own.
     pub is_encoded: bool,
-    /// The endpoint's load.
+    /// Load of the endpoint.
     pub load: Option<ReportedLoad>,
-    /// How long the endpoint keeps an idle connection.
+    /// Idle timeout of the endpoint for connections.
     pub idle_limit: Option<time::Duration>,
 }
 
-/// A call about a job other than its submission.
+/// A request about a job other than its submission.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum JobCall {
     /// Reads results from a position on.
     Read {
         /// The job.
         job: ids::JobId,
-        /// First position wanted.
+        /// Position of the first result wanted.
         after: usize,
-        /// How long to wait for a result.
+        /// Longest wait for a result.
         wait: time::Duration,
     },
     /// Reads the body of an item.
@@ -88,7 +88,7 @@
 }
 
 impl JobCall {
-    /// The job, as its caller names it.
+    /// Returns the id of the job, as the caller names it.
     pub fn job(&self) -> &ids::JobId {
         match self {
             Self::Read { job, .. } | Self::ItemBody { job, .. } | Self::End { job } => job,
@@ -96,16 +96,16 @@
     }
 }
 
-/// One item of a job as it was submitted.
+/// One submitted item of a job.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct JobItem {
-    /// Its name, unique in the job.
+    /// Item id, unique in the job.
     pub id: String,
-    /// Path of its request.
+    /// Path of the item's request.
     pub path: String,
-    /// Headers of its request.
+    /// Headers of the item's request.
     pub headers: Vec<(String, String)>,
-    /// Body of its request.
+    /// Body of the item's request.
     #[serde(with = "base64_bytes")]
     pub body: bytes::Bytes,
 }
@@ -113,59 +113,59 @@
 /// How an item ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum ItemState {
-    /// Its whole output is there.
+    /// The output is complete.
     Completed,
-    /// It was given up.
+    /// The item was abandoned.
     GivenUp,
 }
 
 /// The result of an item.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct ItemResult {
-    /// The item.
+    /// Item id.
     pub id: String,
-    /// How it ended.
+    /// Final state.
     pub state: ItemState,
-    /// Data of all its events, joined by line feeds.
+    /// Data of all events, joined by line feeds.
     pub output: String,
 }
 
-/// A stretch of a job's results.
+/// A page of a job's results.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct ResultPage {
-    /// Items of the job.
+    /// Number of items in the job.
     pub total: usize,
     /// Position after the last result of the page.
     pub next: usize,
-    /// The results.
+    /// Results of the page.
     pub results: Vec<ItemResult>,
 }
 
-/// Headers that are forwarded or added.
+/// The header type of the HTTP library.
 pub type HeaderMap = header::HeaderMap;
 
-/// The words of one wire, for callers, endpoints and jobs.
+/// Encodes and decodes one wire format for callers, endpoints and jobs.
 pub trait WireAdapter {
-    /// Reads a caller's head.
+    /// Reads the terms from the head of a caller's request.
     fn caller_terms(&self, headers: &HeaderMap) -> CallerTerms;
 
-    /// Sets the headers of an attempt on top of the caller's own.
+    /// Sets the headers of an attempt in addition to the caller's own.
     fn write_attempt(&self, headers: &mut HeaderMap, terms: &AttemptTerms<'_>);
 
-    /// Names a request that no caller's head names: an item of a job.
+    /// Sets the request id of an item of a job.
     fn write_item_id(&self, headers: &mut HeaderMap, id: &str);
 
-    /// Removes credentials, and names the workspace that a request is served for in place
-    /// of whatever the caller named.
+    /// Removes credentials, and replaces any workspace that the caller named by the one that
+    /// the request is served for.
     fn write_workspace(&self, headers: &mut HeaderMap, workspace: Option<&ids::WorkspaceId>);
 
-    /// Reads the head of an endpoint's answer.
+    /// Reads the metadata from the head of an endpoint's response.
     fn response_metadata(&self, head: &actix_http::ResponseHead) -> ResponseMetadata;
 
-    /// Whether a header of an endpoint's answer goes on to the caller.
+    /// Returns whether a header of an endpoint's response is forwarded to the caller.
     fn is_forwarded(&self, name: &header::HeaderName) -> bool;
 
-    /// A call about a job, if it is one.
+    /// Reads a request about a job; returns `None` for any other request.
     fn job_call(
         &self,
         method: &actix_http::Method,
@@ -177,14 +177,14 @@
     /// Reads the items of a submitted job.
     ///
     /// # Errors
-    /// What is wrong, for the caller to read.
+    /// A description of the error for the caller.
     fn job_items(&self, body: &[u8]) -> Result<Vec<JobItem>, String>;
 
-    /// Writes a page of results.
+    /// Encodes a page of results.
     fn result_page(&self, page: &ResultPage) -> bytes::Bytes;
 }
 
-/// Bytes as Base64 text in JSON.
+/// Serializes bytes as Base64 text in JSON.
 mod base64_bytes {
     use base64::Engine as _;
     use serde::Deserialize as _;
