--- a/src/outcome.rs
+++ b/src/outcome.rs
@@ -51,12 +51,12 @@
     }
 
     /// The endpoint's own word, as an adapter of its wire reads it.
-    pub fn told_by_endpoint() -> Self {
+    pub fn refused_by_endpoint() -> Self {
         Self(NotRunReason::RefusedByEndpoint)
     }
 
     /// The word of another endpoint, which has the address of the expected one.
-    pub fn told_by_other() -> Self {
+    pub fn refused_by_other() -> Self {
         Self(NotRunReason::OtherEndpoint)
     }
 
--- a/src/serving/attempt.rs
+++ b/src/serving/attempt.rs
@@ -35,9 +35,9 @@
 /// A response whose head has been read and whose body is still open.
 pub struct OpenResponse {
     /// The response and its connection.
-    pub incoming: connection::IncomingAnswer,
+    pub incoming: connection::IncomingResponse,
     /// Metadata from the head.
-    pub notes: wire::ResponseMetadata,
+    pub metadata: wire::ResponseMetadata,
 }
 
 /// Connects to an endpoint for one attempt.
@@ -55,7 +55,7 @@
 
 /// Sends one attempt and waits for the head of its response.
 ///
-/// `opened` is a connection opened for this attempt, if there is one. `is_kept` is set
+/// `opened` is a connection opened for this attempt, if there is one. `is_reused` is set
 /// to whether the request was sent on a pooled connection. `head_timeout` limits
 /// connecting, sending and the wait for the head.
 pub async fn send(
@@ -64,7 +64,7 @@
     request: &ForwardedRequest,
     terms: &wire::AttemptTerms<'_>,
     opened: Option<connection::EndpointConnection>,
-    is_kept: &cell::Cell<bool>,
+    is_reused: &cell::Cell<bool>,
     head_timeout: time::Duration,
 ) -> outcome::AttemptOutcome<OpenResponse> {
     use outcome::AttemptOutcome as O;
@@ -72,16 +72,16 @@
     let exchange = async {
         match opened {
             Some(opened) => exchange_on(context, opened, request, terms).await,
-            None => exchange(context, endpoint, request, terms, is_kept, head_timeout).await,
+            None => exchange(context, endpoint, request, terms, is_reused, head_timeout).await,
         }
     };
     let incoming = match tokio::time::timeout(head_timeout, exchange).await {
         Ok(Ok(incoming)) => incoming,
-        Ok(Err(ended)) => return ended,
+        Ok(Err(outcome)) => return outcome,
         Err(_) => {
-            context.pool.forget(endpoint.address);
-            let why = format!("no response within {} ms", head_timeout.as_millis());
-            return O::Unknown(why);
+            context.pool.close_idle(endpoint.address);
+            let reason = format!("no response within {} ms", head_timeout.as_millis());
+            return O::Unknown(reason);
         }
     };
     classify(context, endpoint, request, incoming)
@@ -100,16 +100,16 @@
     endpoint: &directory::EndpointEntry,
     request: &ForwardedRequest,
     terms: &wire::AttemptTerms<'_>,
-    is_kept: &cell::Cell<bool>,
+    is_reused: &cell::Cell<bool>,
     timeout: time::Duration,
-) -> Result<connection::IncomingAnswer, outcome::AttemptOutcome<OpenResponse>> {
+) -> Result<connection::IncomingResponse, outcome::AttemptOutcome<OpenResponse>> {
     use outcome::AttemptOutcome as O;
 
-    let mut broken = None;
+    let mut first_error = None;
     if request.repeatable || protection::is_disabled("fresh_connection") {
-        if let Some(kept) = context.pool.take(endpoint.address) {
-            is_kept.set(true);
-            match kept.exchange(outgoing(context, request, terms)).await {
+        if let Some(pooled) = context.pool.take(endpoint.address) {
+            is_reused.set(true);
+            match pooled.exchange(outgoing(context, request, terms)).await {
                 Ok(incoming) => return Ok(incoming),
                 Err(connection::ExchangeError::Broken(e)) if request.repeatable => {
                     log::debug!(
@@ -117,18 +117,18 @@
                         endpoint.id
                     );
                     if !is_usable(context, endpoint) {
-                        let why = format!("{e}, and the endpoint is draining");
-                        return Err(O::Unknown(why));
+                        let reason = format!("{e}, and the endpoint is draining");
+                        return Err(O::Unknown(reason));
                     }
-                    broken = Some(e);
+                    first_error = Some(e);
                 }
                 Err(e) => return Err(O::Unknown(e.to_string())),
             }
         }
     }
-    is_kept.set(false);
+    is_reused.set(false);
     let opened = connect(endpoint, timeout).await;
-    let opened = opened.map_err(|proof| match broken {
+    let opened = opened.map_err(|proof| match first_error {
         Some(e) => O::Unknown(format!("{e}, then {}", proof.reason())),
         None => O::NotRun(proof),
     })?;
@@ -141,7 +141,7 @@
     opened: connection::EndpointConnection,
     request: &ForwardedRequest,
     terms: &wire::AttemptTerms<'_>,
-) -> Result<connection::IncomingAnswer, outcome::AttemptOutcome<OpenResponse>> {
+) -> Result<connection::IncomingResponse, outcome::AttemptOutcome<OpenResponse>> {
     let exchanged = opened.exchange(outgoing(context, request, terms)).await;
     exchanged.map_err(|e| outcome::AttemptOutcome::Unknown(e.to_string()))
 }
@@ -172,48 +172,48 @@
     context: &rc::Rc<context::ProcessContext>,
     endpoint: &directory::EndpointEntry,
     request: &ForwardedRequest,
-    incoming: connection::IncomingAnswer,
+    incoming: connection::IncomingResponse,
 ) -> outcome::AttemptOutcome<OpenResponse> {
     use outcome::AttemptOutcome as O;
 
-    let notes = context.wire.response_metadata(&incoming.head);
-    if let Some(load) = notes.load {
+    let metadata = context.wire.response_metadata(&incoming.head);
+    if let Some(load) = metadata.load {
         context
             .loads
             .borrow_mut()
             .record_report(&endpoint.id, load, context.clock.now());
     }
     let status = incoming.head.status;
-    if notes.other_endpoint && notes.answered_by.as_deref() != Some(endpoint.id.as_str()) {
-        return O::NotRun(outcome::NotRunProof::told_by_other());
+    if metadata.other_endpoint && metadata.answered_by.as_deref() != Some(endpoint.id.as_str()) {
+        return O::NotRun(outcome::NotRunProof::refused_by_other());
     }
-    if notes.other_endpoint || notes.not_run {
-        return O::NotRun(outcome::NotRunProof::told_by_endpoint());
+    if metadata.other_endpoint || metadata.not_run {
+        return O::NotRun(outcome::NotRunProof::refused_by_endpoint());
     }
-    if is_promise(status) {
+    if promises_not_run(status) {
         return O::Unknown(format!(
             "status {status} without a statement that the request did not run"
         ));
     }
-    let crossed = notes.id.is_some() && notes.id != request.id;
-    if crossed && !protection::is_disabled("crossed_answer") {
+    let is_crossed = metadata.id.is_some() && metadata.id != request.id;
+    if is_crossed && !protection::is_disabled("crossed_answer") {
         context.metrics.crossed.inc();
         return O::Unknown("the response belongs to another request".into());
     }
-    let failed = status.is_server_error();
-    if !failed && (!notes.is_confirmed || notes.is_encoded) {
+    let is_failed = status.is_server_error();
+    if !is_failed && (!metadata.is_confirmed || metadata.is_encoded) {
         return O::Unknown(format!("status {status} is not confirmed by the endpoint"));
     }
-    if failed && !notes.is_confirmed {
+    if is_failed && !metadata.is_confirmed {
         return O::Unknown(format!(
             "failure status {status} is not confirmed by the endpoint"
         ));
     }
-    O::Completed(OpenResponse { incoming, notes })
+    O::Completed(OpenResponse { incoming, metadata })
 }
 
 /// Returns whether callers take a status as a promise that the request did not run.
-fn is_promise(status: StatusCode) -> bool {
+fn promises_not_run(status: StatusCode) -> bool {
     matches!(status.as_u16(), 408 | 421 | 429 | 503)
 }
 
@@ -223,7 +223,7 @@
 }
 
 /// Hop-by-hop headers, which apply to the caller's connection only.
-const HOP_HEADERS: [header::HeaderName; 8] = [
+const HOP_BY_HOP_HEADERS: [header::HeaderName; 8] = [
     header::CONNECTION,
     header::TRANSFER_ENCODING,
     header::CONTENT_LENGTH,
@@ -237,23 +237,23 @@
 /// Returns the headers of a request without the hop-by-hop ones, including those that
 /// its `Connection` header lists.
 pub fn forwarded_headers(headers: &wire::HeaderMap) -> wire::HeaderMap {
-    let named = headers
+    let connection_headers = headers
         .get(header::CONNECTION)
         .and_then(|v| v.to_str().ok());
-    let named: Vec<String> = named.map_or_else(Vec::new, |list| {
+    let connection_headers: Vec<String> = connection_headers.map_or_else(Vec::new, |list| {
         list.split(',')
             .map(|n| n.trim().to_ascii_lowercase())
             .collect()
     });
-    let mut kept = wire::HeaderMap::with_capacity(headers.len());
+    let mut forwarded = wire::HeaderMap::with_capacity(headers.len());
     for (name, value) in headers.iter() {
-        let hop = HOP_HEADERS.contains(name)
+        let is_hop_by_hop = HOP_BY_HOP_HEADERS.contains(name)
             || name.as_str() == "keep-alive"
             || name.as_str() == "proxy-connection"
-            || named.iter().any(|n| n == name.as_str());
-        if !hop {
-            kept.append(name.clone(), value.clone());
+            || connection_headers.iter().any(|n| n == name.as_str());
+        if !is_hop_by_hop {
+            forwarded.append(name.clone(), value.clone());
         }
     }
-    kept
+    forwarded
 }
--- a/src/serving/attempt_flow.rs
+++ b/src/serving/attempt_flow.rs
@@ -5,14 +5,14 @@
 
 use futures::future::{self, FutureExt as _};
 
-use super::{attempt, connection, crash_watch, relay, search_pace, slots, slow_attempt, wire};
+use super::{attempt, connection, crash_watch, relay, search_backoff, slots, slow_attempt, wire};
 use crate::{clock, ids, outcome};
 
 /// Number of consecutive attempts that did not run after which a request that has never
 /// run is refused, and one that has run backs off before it searches on.
 const MAX_NOT_RUN: u32 = 4;
 /// `Retry-After` of a refused request, as a share of the route's latency objective.
-const RETURN_SHARE: f64 = 1.0;
+const RETRY_AFTER_SHARE: f64 = 1.0;
 
 /// The attempts of one request so far.
 #[derive(Default)]
@@ -26,37 +26,37 @@
     /// Number of attempts that did not run.
     pub(super) not_run: u32,
     /// Number of attempts that did not run since the search last backed off.
-    refused: u32,
+    recent_not_run: u32,
     /// Backoff of the search after an attempt ended.
-    pace: search_pace::SearchPace,
+    backoff: search_backoff::SearchBackoff,
     /// Backoff of the search for a replacement of the current run; set once that run was slow.
-    pub(super) slow_pace: cell::Cell<Option<search_pace::SearchPace>>,
+    pub(super) slow_backoff: cell::Cell<Option<search_backoff::SearchBackoff>>,
     /// Whether the current attempt was sent on a pooled connection.
-    pub(super) is_kept: rc::Rc<cell::Cell<bool>>,
+    pub(super) is_reused: rc::Rc<cell::Cell<bool>>,
     /// When a test connection to the host of a slow endpoint was last opened.
     pub(super) checked_at: cell::Cell<Option<clock::BootInstant>>,
 }
 
 impl AttemptLog {
     /// Records the start of an attempt at an endpoint.
-    pub(super) fn begin(&mut self, id: &ids::EndpointId) {
+    pub(super) fn record_start(&mut self, id: &ids::EndpointId) {
         self.tried.push(id.clone());
         self.last = Some(id.clone());
-        self.slow_pace.set(None);
+        self.slow_backoff.set(None);
         self.checked_at.set(None);
     }
 
     /// Resets the search state after the head of a response arrived.
-    fn end_search(&mut self) {
-        self.refused = 0;
-        self.pace = search_pace::SearchPace::default();
-        self.slow_pace.set(None);
+    fn reset_search(&mut self) {
+        self.recent_not_run = 0;
+        self.backoff = search_backoff::SearchBackoff::default();
+        self.slow_backoff.set(None);
     }
 }
 
 /// What to do after an attempt that gave no usable response.
 pub(super) enum NextStep {
-    Again,
+    Retry,
     GiveUp(relay::FinalError),
 }
 
@@ -68,7 +68,7 @@
 }
 
 /// An attempt with a response, and the slot that it holds.
-pub(super) struct Answered {
+pub(super) struct RespondingAttempt {
     pub(super) slot: slots::HeldSlot,
     pub(super) open: attempt::OpenResponse,
 }
@@ -96,22 +96,22 @@
     ///
     /// # Errors
     /// No attempt succeeded, or no further one is allowed.
-    pub(super) async fn next_answer(
+    pub(super) async fn next_response(
         &mut self,
         mut sent: Option<Box<SentAttempt>>,
-    ) -> Result<Answered, relay::FinalError> {
+    ) -> Result<RespondingAttempt, relay::FinalError> {
         loop {
             let current = match sent.take() {
                 Some(current) => *current,
                 None => {
                     let slot = self.find_slot().await?;
-                    self.log.begin(&slot.endpoint.id);
+                    self.log.record_start(&slot.endpoint.id);
                     self.start(slot, None)
                 }
             };
-            match self.answer_of(current).await {
-                Ok(answered) => return Ok(answered),
-                Err(NextStep::Again) => {}
+            match self.response_of(current).await {
+                Ok(responding) => return Ok(responding),
+                Err(NextStep::Retry) => {}
                 Err(NextStep::GiveUp(e)) => return Err(e),
             }
         }
@@ -125,23 +125,23 @@
     /// # Errors
     /// There is no slot, the deadline has passed, or the request is quarantined.
     async fn find_slot(&mut self) -> Result<slots::HeldSlot, relay::FinalError> {
-        if self.log.ran > 0 && self.log.refused >= MAX_NOT_RUN {
-            self.pause_search().await;
+        if self.log.ran > 0 && self.log.recent_not_run >= MAX_NOT_RUN {
+            self.back_off().await;
         }
         loop {
-            if self.left().is_zero() {
+            if self.time_left().is_zero() {
                 return Err(relay::FinalError::Late);
             }
             if self.log.ran > 0 && self.is_blamed() {
-                let why = "each endpoint that began to run the request crashed";
-                return Err(relay::FinalError::Failed(why.into()));
+                let reason = "each endpoint that began to run the request crashed";
+                return Err(relay::FinalError::Failed(reason.into()));
             }
             match self.request_slot().await? {
                 Ok(slot) => return Ok(slot),
-                Err(why) if !self.may_search() => return Err(self.slot_unavailable(why)),
+                Err(reason) if !self.may_search() => return Err(self.slot_unavailable(reason)),
                 Err(_) => {
                     self.log.tried.clear();
-                    self.pause_search().await;
+                    self.back_off().await;
                 }
             }
         }
@@ -154,9 +154,9 @@
     }
 
     /// Waits before the next round of the search.
-    async fn pause_search(&mut self) {
-        self.log.refused = 0;
-        let delay = self.log.pace.next_delay().min(self.left());
+    async fn back_off(&mut self) {
+        self.log.recent_not_run = 0;
+        let delay = self.log.backoff.next_delay().min(self.time_left());
         tokio::time::sleep(delay).await;
     }
 
@@ -174,7 +174,7 @@
         };
         // A request that has run may exceed the capacity at which new ones are refused.
         Ok(match self.log.ran > 0 {
-            true => slots::any_slot(&self.context, &request).await,
+            true => slots::acquire_or_go_ahead(&self.context, &request).await,
             false => slots::acquire(&self.context, &request).await,
         })
     }
@@ -190,13 +190,13 @@
     }
 
     /// Returns the final error if no slot is left; it states whether an attempt has run.
-    fn slot_unavailable(&self, why: slots::SlotUnavailable) -> relay::FinalError {
+    fn slot_unavailable(&self, reason: slots::SlotUnavailable) -> relay::FinalError {
         if self.log.ran > 0 {
-            return relay::FinalError::Failed(format!("an attempt failed, then: {why}"));
+            return relay::FinalError::Failed(format!("an attempt failed, then: {reason}"));
         }
         relay::FinalError::NotRun(
-            self.request.route.objective.mul_f64(RETURN_SHARE),
-            why.to_string(),
+            self.request.route.objective.mul_f64(RETRY_AFTER_SHARE),
+            reason.to_string(),
         )
     }
 
@@ -211,9 +211,9 @@
         let context = self.context.clone();
         let endpoint = slot.endpoint.clone();
         let forwarded = self.request.forwarded.clone();
-        let (left, resume_after) = (self.left(), self.last_event);
-        let is_kept = self.log.is_kept.clone();
-        is_kept.set(false);
+        let (left, resume_after) = (self.time_left(), self.last_event);
+        let is_reused = self.log.is_reused.clone();
+        is_reused.set(false);
         let sending = async move {
             let terms = wire::AttemptTerms {
                 endpoint: &endpoint.id,
@@ -221,7 +221,7 @@
                 resume_after,
             };
             attempt::send(
-                &context, &endpoint, &forwarded, &terms, opened, &is_kept, left,
+                &context, &endpoint, &forwarded, &terms, opened, &is_reused, left,
             )
             .await
         };
@@ -230,20 +230,20 @@
     }
 
     /// Waits for the response of an attempt, or of the one that it is handed off to.
-    async fn answer_of(&mut self, mut sent: SentAttempt) -> Result<Answered, NextStep> {
+    async fn response_of(&mut self, mut sent: SentAttempt) -> Result<RespondingAttempt, NextStep> {
         use outcome::AttemptOutcome as O;
         use slow_attempt::Waited as W;
 
         loop {
             let SentAttempt { slot, sending } = &mut sent;
             let awaited = slow_attempt::Awaited::Head;
-            let outcome = match self.wait_or_move(slot, awaited, sending).await {
-                W::Came(outcome) => outcome,
-                W::Lost(waited) => O::Unknown(no_answer(waited)),
-                W::Moved(next, waited) => {
+            let outcome = match self.wait_or_hand_off(slot, awaited, sending).await {
+                W::Done(outcome) => outcome,
+                W::Lost(waited) => O::Unknown(no_response(waited)),
+                W::HandedOff(next, waited) => {
                     self.log.ran += 1;
                     let id = sent.slot.endpoint.id.clone();
-                    self.record_attempt(&id, "unknown", &no_answer(waited));
+                    self.record_attempt(&id, "unknown", &no_response(waited));
                     sent = *next;
                     continue;
                 }
@@ -257,7 +257,7 @@
         &mut self,
         slot: slots::HeldSlot,
         outcome: outcome::AttemptOutcome<attempt::OpenResponse>,
-    ) -> Result<Answered, NextStep> {
+    ) -> Result<RespondingAttempt, NextStep> {
         use outcome::AttemptOutcome as O;
 
         let endpoint = slot.endpoint.clone();
@@ -265,95 +265,95 @@
             O::Completed(open) => {
                 self.log.ran += 1;
                 let status = open.incoming.head.status;
-                let again = attempt::is_failure(status) && self.attempts_left() > 0;
+                let may_retry = attempt::is_failure(status) && self.attempts_left() > 0;
                 if attempt::is_failure(status) {
                     slot.record_failed(false);
                 }
-                if again && self.may_repeat() {
+                if may_retry && self.may_repeat() {
                     self.record_attempt(&endpoint.id, "failed", status.as_str());
-                    return Err(NextStep::Again);
+                    return Err(NextStep::Retry);
                 }
-                self.log.end_search();
-                Ok(Answered { slot, open })
+                self.log.reset_search();
+                Ok(RespondingAttempt { slot, open })
             }
             O::NotRun(proof) => {
                 self.log.not_run += 1;
-                self.log.refused += 1;
+                self.log.recent_not_run += 1;
                 let reason = proof.reason();
                 self.record_attempt(&endpoint.id, "not_run", &reason.to_string());
                 slot.record_refused(reason);
-                if self.log.refused >= MAX_NOT_RUN && !self.may_search() {
-                    return Err(NextStep::GiveUp(self.not_run()));
+                if self.log.recent_not_run >= MAX_NOT_RUN && !self.may_search() {
+                    return Err(NextStep::GiveUp(self.not_run_error()));
                 }
-                Err(NextStep::Again)
+                Err(NextStep::Retry)
             }
-            O::Failed(why) | O::Unknown(why) => {
+            O::Failed(reason) | O::Unknown(reason) => {
                 self.log.ran += 1;
-                self.record_attempt(&endpoint.id, "unknown", &why);
-                self.watch_end(&slot, false);
+                self.record_attempt(&endpoint.id, "unknown", &reason);
+                self.watch_for_crash(&slot, false);
                 // Not recorded as silent: an endpoint with a full queue gives no response
                 // either. Only several such failures in a row eject it.
                 slot.record_failed(false);
-                Err(self.after_unknown(why))
+                Err(self.after_unknown(reason))
             }
         }
     }
 
-    fn not_run(&self) -> relay::FinalError {
+    fn not_run_error(&self) -> relay::FinalError {
         if self.log.ran > 0 {
             return relay::FinalError::Failed("no endpoint accepted the next attempt".into());
         }
-        let delay = self.request.route.objective.mul_f64(RETURN_SHARE);
+        let delay = self.request.route.objective.mul_f64(RETRY_AFTER_SHARE);
         relay::FinalError::NotRun(delay, "no endpoint accepted the request".into())
     }
 
     /// Returns what to do after an attempt that may have run.
-    pub(super) fn after_unknown(&self, why: String) -> NextStep {
-        if self.left().is_zero() {
+    pub(super) fn after_unknown(&self, reason: String) -> NextStep {
+        if self.time_left().is_zero() {
             return NextStep::GiveUp(relay::FinalError::Late);
         }
         if self.may_repeat() && self.attempts_left() > 0 {
-            return NextStep::Again;
+            return NextStep::Retry;
         }
-        NextStep::GiveUp(relay::FinalError::Failed(why))
+        NextStep::GiveUp(relay::FinalError::Failed(reason))
     }
 
     /// Records a truncated response, and starts a check whether its endpoint crashed.
-    pub(super) fn record_broken(&self, slot: &slots::HeldSlot, outcome: &str, why: &str) {
-        self.record_attempt(&slot.endpoint.id, outcome, why);
-        self.watch_end(slot, true);
+    pub(super) fn record_truncated(&self, slot: &slots::HeldSlot, outcome: &str, reason: &str) {
+        self.record_attempt(&slot.endpoint.id, outcome, reason);
+        self.watch_for_crash(slot, true);
     }
 
     /// Starts a background check whether the endpoint of a failed attempt crashed.
-    fn watch_end(&self, slot: &slots::HeldSlot, has_head: bool) {
+    fn watch_for_crash(&self, slot: &slots::HeldSlot, has_head: bool) {
         let run = crash_watch::CutRun {
             digest: self.request.forwarded.digest,
             id: self.request.terms.id.clone().unwrap_or_default(),
             endpoint: slot.endpoint.clone(),
-            begun: slot.taken(),
+            begun: slot.acquired_at(),
             has_head,
         };
         crash_watch::begin(&self.context, run);
     }
 
     /// Logs and counts an attempt that gave no complete response.
-    pub(super) fn record_attempt(&self, id: &ids::EndpointId, outcome: &str, why: &str) {
+    pub(super) fn record_attempt(&self, id: &ids::EndpointId, outcome: &str, reason: &str) {
         self.context
             .metrics
             .attempts
             .with_label_values(&[outcome])
             .inc();
         log::info!(
-            "event=attempt request={} digest={} route={} endpoint={id} outcome={outcome} why=\"{why}\" ran={} left_ms={}",
+            "event=attempt request={} digest={} route={} endpoint={id} outcome={outcome} why=\"{reason}\" ran={} left_ms={}",
             self.request.terms.id.as_deref().unwrap_or("-"),
             self.request.forwarded.digest,
             self.request.route.name,
             self.log.ran,
-            self.left().as_millis(),
+            self.time_left().as_millis(),
         );
     }
 }
 
-fn no_answer(waited: time::Duration) -> String {
+fn no_response(waited: time::Duration) -> String {
     format!("no response within {} ms", waited.as_millis())
 }
--- a/src/serving/caller_handler.rs
+++ b/src/serving/caller_handler.rs
@@ -13,7 +13,7 @@
 /// `Retry-After` in seconds of a request that this process refuses.
 ///
 /// It is short, as the next try goes to another process.
-const COME_BACK_PAUSE: &str = "0.1";
+const RETRY_AFTER_SECONDS: &str = "0.1";
 
 /// Handles the requests of callers.
 #[derive(Clone)]
@@ -57,10 +57,10 @@
     let arrived = clock::BootInstant::now();
     let table = context.fleet.table();
     if !context.fleet.is_known() {
-        return come_back("no desired state is known yet\n");
+        return refuse_temporarily("no desired state is known yet\n");
     }
     if context.refuses_requests() {
-        return come_back("this process is stopping\n");
+        return refuse_temporarily("this process is stopping\n");
     }
     let host = host_of(&request);
     let path = request.path().to_owned();
@@ -101,7 +101,7 @@
     let read = http_server::read_body(&mut request, limits.max_body_bytes, body_timeout).await;
     let body = match read {
         Ok(body) => body,
-        Err(e) => return unread_body(&e),
+        Err(e) => return body_error_response(&e),
     };
     if route.kind == route_table::RouteKind::Batch {
         let submission = job_calls::Submission {
@@ -145,14 +145,14 @@
 }
 
 /// Refuses a request that has not run, so that its caller retries at another process.
-fn come_back(reason: &'static str) -> http_server::HttpResponse {
+fn refuse_temporarily(reason: &'static str) -> http_server::HttpResponse {
     actix_http::Response::build(StatusCode::SERVICE_UNAVAILABLE)
-        .insert_header((header::RETRY_AFTER, COME_BACK_PAUSE))
+        .insert_header((header::RETRY_AFTER, RETRY_AFTER_SECONDS))
         .body(reason)
         .map_into_boxed_body()
 }
 
-fn unread_body(error: &http_server::BodyError) -> http_server::HttpResponse {
+fn body_error_response(error: &http_server::BodyError) -> http_server::HttpResponse {
     let status = match error {
         http_server::BodyError::TooLarge(_) => StatusCode::PAYLOAD_TOO_LARGE,
         http_server::BodyError::TooSlow(_) => StatusCode::REQUEST_TIMEOUT,
@@ -163,9 +163,9 @@
 }
 
 fn host_of(request: &actix_http::Request) -> String {
-    let named = http_server::header(request.head(), "host");
-    let named = named.or_else(|| request.uri().host());
-    named.unwrap_or_default().to_owned()
+    let name = http_server::header(request.head(), "host");
+    let name = name.or_else(|| request.uri().host());
+    name.unwrap_or_default().to_owned()
 }
 
 /// Approximates the size in bytes of a request's head on the wire.
--- a/src/serving/connection.rs
+++ b/src/serving/connection.rs
@@ -38,7 +38,7 @@
     socket: tokio::net::TcpStream,
     buffer: bytes::BytesMut,
     /// Whether the last request was sent in full.
-    sent_whole: bool,
+    is_fully_sent: bool,
 }
 
 /// How the body of a response is delimited.
@@ -46,15 +46,15 @@
     /// There is no body.
     Empty,
     /// By `Content-Length` or chunked transfer encoding.
-    Coded(h1::ClientPayloadCodec),
+    Framed(h1::ClientPayloadCodec),
     /// By the close of the connection.
     UntilClose,
     /// The body was read to its end.
-    Ended,
+    Finished,
 }
 
 /// The head of a response, and the connection from which its body is read.
-pub struct IncomingAnswer {
+pub struct IncomingResponse {
     /// Status and headers.
     pub head: actix_http::ResponseHead,
     connection: EndpointConnection,
@@ -63,7 +63,7 @@
 }
 
 /// Initial size of the read buffer, in bytes.
-const BUFFER_BYTES: usize = 2048;
+const INITIAL_BUFFER_BYTES: usize = 2048;
 
 impl EndpointConnection {
     /// Opens a connection.
@@ -80,13 +80,13 @@
         Ok(Self {
             address,
             socket,
-            buffer: bytes::BytesMut::with_capacity(BUFFER_BYTES),
-            sent_whole: true,
+            buffer: bytes::BytesMut::with_capacity(INITIAL_BUFFER_BYTES),
+            is_fully_sent: true,
         })
     }
 
     /// Returns whether the idle connection is open and has no unread bytes.
-    pub fn is_quiet(&self) -> bool {
+    pub fn is_reusable(&self) -> bool {
         let mut probe = [0; 1];
         let read = self.socket.try_read(&mut probe);
         matches!(read, Err(e) if e.kind() == io::ErrorKind::WouldBlock)
@@ -99,7 +99,7 @@
     pub async fn exchange(
         mut self,
         request: OutgoingRequest,
-    ) -> Result<IncomingAnswer, ExchangeError> {
+    ) -> Result<IncomingResponse, ExchangeError> {
         let mut codec = h1::ClientCodec::default();
         let size = actix_http::body::BodySize::Sized(request.body.len() as u64);
         let mut out = bytes::BytesMut::with_capacity(request.body.len() + 512);
@@ -110,7 +110,7 @@
         let head = self.read_head(&mut codec).await?;
         let keep_alive = codec.keep_alive();
         let framing = framing_of(&head, codec);
-        Ok(IncomingAnswer {
+        Ok(IncomingResponse {
             head,
             connection: self,
             framing,
@@ -120,7 +120,7 @@
 
     /// Writes the request; stops early if a response arrives before it is sent in full.
     async fn send(&mut self, mut out: &[u8]) -> io::Result<()> {
-        self.sent_whole = false;
+        self.is_fully_sent = false;
         while !out.is_empty() {
             match self.socket.try_write(out) {
                 Ok(count) => {
@@ -132,16 +132,16 @@
             }
             let interest = tokio::io::Interest::READABLE | tokio::io::Interest::WRITABLE;
             let ready = self.socket.ready(interest).await?;
-            if ready.is_readable() && !self.fill_now()? {
+            if ready.is_readable() && !self.try_fill()? {
                 return Ok(());
             }
         }
-        self.sent_whole = true;
+        self.is_fully_sent = true;
         Ok(())
     }
 
     /// Reads the bytes that are available; returns whether there were none.
-    fn fill_now(&mut self) -> io::Result<bool> {
+    fn try_fill(&mut self) -> io::Result<bool> {
         match self.socket.try_read_buf(&mut self.buffer) {
             Ok(0) => Err(io::ErrorKind::UnexpectedEof.into()),
             Ok(_) => Ok(false),
@@ -177,20 +177,20 @@
     use actix_http::header;
 
     if codec.message_type() != h1::MessageType::None {
-        return BodyFraming::Coded(codec.into_payload_codec());
+        return BodyFraming::Framed(codec.into_payload_codec());
     }
     let headers = head.headers();
-    let bodiless = head.status == StatusCode::NO_CONTENT
+    let is_empty = head.status == StatusCode::NO_CONTENT
         || head.status == StatusCode::NOT_MODIFIED
         || headers.contains_key(header::CONTENT_LENGTH);
-    if bodiless {
+    if is_empty {
         BodyFraming::Empty
     } else {
         BodyFraming::UntilClose
     }
 }
 
-impl IncomingAnswer {
+impl IncomingResponse {
     /// Returns the next bytes of the body, or `None` at its end.
     ///
     /// # Errors
@@ -198,15 +198,15 @@
     pub async fn next_bytes(&mut self) -> Result<Option<bytes::Bytes>, ExchangeError> {
         loop {
             match &mut self.framing {
-                BodyFraming::Empty | BodyFraming::Ended => return Ok(None),
+                BodyFraming::Empty | BodyFraming::Finished => return Ok(None),
                 BodyFraming::UntilClose => return self.next_until_close().await,
-                BodyFraming::Coded(codec) => {
+                BodyFraming::Framed(codec) => {
                     let decoded = codec.decode(&mut self.connection.buffer);
                     let decoded = decoded.map_err(|e| ExchangeError::Malformed(e.to_string()))?;
                     match decoded {
                         Some(Some(bytes)) => return Ok(Some(bytes)),
                         Some(None) => {
-                            self.framing = BodyFraming::Ended;
+                            self.framing = BodyFraming::Finished;
                             return Ok(None);
                         }
                         None => self.connection.fill().await?,
@@ -223,7 +223,7 @@
             // A reset is an error: only an orderly close ends the body.
             let count = connection.socket.read_buf(&mut connection.buffer).await?;
             if count == 0 {
-                self.framing = BodyFraming::Ended;
+                self.framing = BodyFraming::Finished;
                 return Ok(None);
             }
         }
@@ -235,8 +235,8 @@
     /// It can't if the response came before the request was sent in full, if the body was
     /// not read to its end, or if bytes follow that belong to no request.
     pub fn into_connection(self) -> Option<EndpointConnection> {
-        let ended = matches!(self.framing, BodyFraming::Empty | BodyFraming::Ended);
-        let clean = self.connection.sent_whole && self.connection.buffer.is_empty();
-        (ended && clean && self.keep_alive).then_some(self.connection)
+        let is_finished = matches!(self.framing, BodyFraming::Empty | BodyFraming::Finished);
+        let is_clean = self.connection.is_fully_sent && self.connection.buffer.is_empty();
+        (is_finished && is_clean && self.keep_alive).then_some(self.connection)
     }
 }
--- a/src/serving/connection_pool.rs
+++ b/src/serving/connection_pool.rs
@@ -13,14 +13,14 @@
 /// Maximum number of idle connections in total; each takes a descriptor and about 4 KB.
 const MAX_IDLE: usize = 512;
 /// Idle timeout of a connection if the endpoint names none.
-const DEFAULT_IDLE: time::Duration = time::Duration::from_secs(2);
+const DEFAULT_IDLE_TIMEOUT: time::Duration = time::Duration::from_secs(2);
 /// Subtracted from the idle timeout that an endpoint names, so that a request arrives
 /// before the endpoint closes the connection.
 const IDLE_MARGIN: time::Duration = time::Duration::from_millis(1000);
 
 struct IdleConnection {
     connection: connection::EndpointConnection,
-    until: clock::BootInstant,
+    expiry: clock::BootInstant,
 }
 
 /// The idle connections of a process.
@@ -40,7 +40,7 @@
         let now = clock::BootInstant::now();
         while let Some(idle) = list.pop() {
             self.count.set(self.count.get() - 1);
-            if idle.until > now && idle.connection.is_quiet() {
+            if idle.expiry > now && idle.connection.is_reusable() {
                 return Some(idle.connection);
             }
         }
@@ -55,25 +55,25 @@
         connection: connection::EndpointConnection,
         idle_limit: Option<time::Duration>,
     ) {
-        let keep = match idle_limit {
+        let timeout = match idle_limit {
             Some(limit) => limit.saturating_sub(IDLE_MARGIN),
-            None => DEFAULT_IDLE,
+            None => DEFAULT_IDLE_TIMEOUT,
         };
-        if keep.is_zero() || self.count.get() >= MAX_IDLE {
+        if timeout.is_zero() || self.count.get() >= MAX_IDLE {
             return;
         }
         let mut table = self.idle.borrow_mut();
         let list = table.entry(connection.address).or_default();
         if list.len() < MAX_IDLE_PER_ENDPOINT {
             self.count.set(self.count.get() + 1);
-            let until = clock::BootInstant::now() + keep;
-            list.push(IdleConnection { connection, until });
+            let expiry = clock::BootInstant::now() + timeout;
+            list.push(IdleConnection { connection, expiry });
         }
     }
 
     /// Closes the idle connections to an address after one of them gave no response: the
     /// others may be dead as well.
-    pub fn forget(&self, address: net::SocketAddr) {
+    pub fn close_idle(&self, address: net::SocketAddr) {
         let list = self.idle.borrow_mut().remove(&address);
         let closed = list.map_or(0, |list| list.len());
         self.count.set(self.count.get() - closed);
@@ -84,7 +84,7 @@
         let now = clock::BootInstant::now();
         let mut table = self.idle.borrow_mut();
         for list in table.values_mut() {
-            list.retain(|idle| idle.until > now && idle.connection.is_quiet());
+            list.retain(|idle| idle.expiry > now && idle.connection.is_reusable());
         }
         table.retain(|_, list| !list.is_empty());
         self.count.set(table.values().map(Vec::len).sum());
--- a/src/serving/context.rs
+++ b/src/serving/context.rs
@@ -95,13 +95,13 @@
     /// Idle connections to endpoints.
     pub pool: connection_pool::ConnectionPool,
     /// Loads and health of endpoints.
-    pub loads: cell::RefCell<selection::LoadBoard>,
+    pub loads: cell::RefCell<selection::LoadTable>,
     /// The other processes.
     pub members: cell::RefCell<members::MemberTable>,
     /// Links to them.
     pub links: peer_links::PeerLinks,
     /// Places at owned endpoints.
-    pub permits: cell::RefCell<permits::PermitBoard>,
+    pub permits: cell::RefCell<permits::PermitTable>,
     /// Jobs that are run or read here.
     pub jobs: job_board::JobBoard,
     /// Progress of jobs that other processes run.
@@ -157,7 +157,7 @@
     /// The latest stamps of peers, and their runs.
     pub(super) stamps: cell::RefCell<PeerStamps>,
     /// Connections of callers on which a part of an answer waits to be sent.
-    pub(super) waiting_answers: rc::Rc<cell::Cell<usize>>,
+    pub(super) waiting_responses: rc::Rc<cell::Cell<usize>>,
 }
 
 /// The latest stamp of each peer, and its run.
@@ -219,7 +219,7 @@
             wakes: watch::Sender::new(0),
             stopping: watch::Sender::new(false),
             active: cell::Cell::new(0),
-            waiting_answers: rc::Rc::default(),
+            waiting_responses: rc::Rc::default(),
         }
     }
 
@@ -262,7 +262,7 @@
 
     /// Whether no request is under way, and no answer waits for a slow caller.
     pub(super) fn is_idle(&self) -> bool {
-        self.active.get() == 0 && self.waiting_answers.get() == 0
+        self.active.get() == 0 && self.waiting_responses.get() == 0
     }
 
     /// How long the process has run.
--- a/src/serving/event_flow.rs
+++ b/src/serving/event_flow.rs
@@ -7,24 +7,25 @@
 use futures::stream;
 
 use super::{
-    answer_copy, attempt_flow, connection, event_split,
-    relay::{FinalError, RequestRelay, Served, ANSWERED},
+    attempt_flow, connection, event_split,
+    relay::{FinalError, RequestRelay, ServedResponse, ANSWERED},
+    response_copy,
     slow_attempt::{self, Waited},
 };
 use crate::http_server;
 
 /// An open stream with its first event, which is `None` if the stream is empty.
 pub(super) struct OpenStream {
-    answered: attempt_flow::Answered,
+    responding: attempt_flow::RespondingAttempt,
     splitter: event_split::EventSplitter,
     first: Option<event_split::RawEvent>,
 }
 
 /// Result of the wait for an event.
-enum EventEnd {
+enum EventResult {
     Event(event_split::RawEvent),
     Finished,
-    Cut(String),
+    Truncated(String),
 }
 
 impl RequestRelay {
@@ -37,44 +38,44 @@
     pub(super) async fn open_stream(
         &mut self,
         mut sent: Option<Box<attempt_flow::SentAttempt>>,
-    ) -> Result<Served, FinalError> {
+    ) -> Result<ServedResponse, FinalError> {
         loop {
-            let mut answered = self.next_answer(sent.take()).await?;
-            if !answered.open.incoming.head.status.is_success() {
-                return self.other_answer(answered).await;
+            let mut responding = self.next_response(sent.take()).await?;
+            if !responding.open.incoming.head.status.is_success() {
+                return self.read_non_stream(responding).await;
             }
             let mut splitter = event_split::EventSplitter::default();
-            let attempt_flow::Answered { slot, open } = &mut answered;
+            let attempt_flow::RespondingAttempt { slot, open } = &mut responding;
             let waiting = next_event(&mut open.incoming, &mut splitter);
             let awaited = slow_attempt::Awaited::FirstEvent;
-            let first = match self.wait_or_move(slot, awaited, waiting).await {
-                Waited::Came(end) => self.accept(end),
-                Waited::Lost(waited) => EventEnd::Cut(no_event(waited)),
-                Waited::Moved(next, waited) => {
+            let first = match self.wait_or_hand_off(slot, awaited, waiting).await {
+                Waited::Done(end) => self.check_order(end),
+                Waited::Lost(waited) => EventResult::Truncated(no_event(waited)),
+                Waited::HandedOff(next, waited) => {
                     self.record_attempt(&slot.endpoint.id, "cut", &no_event(waited));
                     sent = Some(next);
                     continue;
                 }
             };
             let first = match first {
-                EventEnd::Event(event) => Some(event),
-                EventEnd::Finished => None,
-                EventEnd::Cut(reason) => {
-                    self.record_broken(slot, "cut", &reason);
+                EventResult::Event(event) => Some(event),
+                EventResult::Finished => None,
+                EventResult::Truncated(reason) => {
+                    self.record_truncated(slot, "cut", &reason);
                     slot.record_failed(false);
                     match self.after_unknown(reason) {
                         attempt_flow::NextStep::GiveUp(e) => return Err(e),
-                        attempt_flow::NextStep::Again => continue,
+                        attempt_flow::NextStep::Retry => continue,
                     }
                 }
             };
-            let head = answer_copy::copy_head(&answered.open.incoming.head);
+            let head = response_copy::clone_head(&responding.open.incoming.head);
             let stream = Box::new(OpenStream {
-                answered,
+                responding,
                 splitter,
                 first,
             });
-            return Ok(Served::Stream(head, stream));
+            return Ok(ServedResponse::Stream(head, stream));
         }
     }
 
@@ -82,37 +83,37 @@
     ///
     /// # Errors
     /// The body is truncated, or the deadline passed.
-    async fn other_answer(
+    async fn read_non_stream(
         &self,
-        mut answered: attempt_flow::Answered,
-    ) -> Result<Served, FinalError> {
-        let reading = answer_copy::read_whole(&mut answered.open.incoming);
+        mut responding: attempt_flow::RespondingAttempt,
+    ) -> Result<ServedResponse, FinalError> {
+        let reading = response_copy::read_full_body(&mut responding.open.incoming);
         let read = tokio::select! {
             biased;
             read = reading => read,
-            () = self.time_over() => return Err(FinalError::Late),
+            () = self.wait_for_deadline() => return Err(FinalError::Late),
         };
         let body = read.map_err(|e| FinalError::Failed(e.to_string()))?;
-        let response = self.whole(&answered.open.incoming.head, body);
-        self.give_back(answered);
-        Ok(Served::Whole(response))
+        let response = self.build_response(&responding.open.incoming.head, body);
+        self.finish_response(responding);
+        Ok(ServedResponse::Full(response))
     }
 
     /// Checks that an event follows the last one, and records it.
     ///
     /// Any other event is treated as a truncated stream.
-    fn accept(&mut self, end: EventEnd) -> EventEnd {
-        let EventEnd::Event(event) = end else {
+    fn check_order(&mut self, end: EventResult) -> EventResult {
+        let EventResult::Event(event) = end else {
             return end;
         };
         let expected = self.last_event.map(|last| last + 1);
         match expected {
             Some(expected) if event.id != expected => {
-                EventEnd::Cut(format!("event {} instead of {expected}", event.id))
+                EventResult::Truncated(format!("event {} instead of {expected}", event.id))
             }
             _ => {
                 self.last_event = Some(event.id);
-                EventEnd::Event(event)
+                EventResult::Event(event)
             }
         }
     }
@@ -123,22 +124,22 @@
         open: Box<OpenStream>,
     ) -> http_server::HttpResponse {
         let mut response = actix_http::Response::build(head.status);
-        answer_copy::copy_headers(&self.context, &head, &mut response);
-        self.mark_close(&mut response);
-        self.started = true;
-        open.answered.slot.record_served();
-        self.observe_first();
+        response_copy::copy_forwarded_headers(&self.context, &head, &mut response);
+        self.close_if_stopping(&mut response);
+        self.is_started = true;
+        open.responding.slot.record_served();
+        self.record_first_event();
         let flow = EventFlow {
             relay: self,
             open: Some(open),
-            is_over: false,
+            is_end_recorded: false,
         };
-        let pieces = stream::unfold(flow, |mut flow| async move {
-            let piece = flow.next_piece().await?;
-            Some((piece, flow))
+        let chunks = stream::unfold(flow, |mut flow| async move {
+            let chunk = flow.next_chunk().await?;
+            Some((chunk, flow))
         });
         response
-            .body(body::BodyStream::new(Box::pin(pieces)))
+            .body(body::BodyStream::new(Box::pin(chunks)))
             .map_into_boxed_body()
     }
 }
@@ -148,12 +149,12 @@
     relay: RequestRelay,
     open: Option<Box<OpenStream>>,
     /// Whether its end was recorded.
-    is_over: bool,
+    is_end_recorded: bool,
 }
 
 impl Drop for EventFlow {
     fn drop(&mut self) {
-        if !self.is_over {
+        if !self.is_end_recorded {
             self.relay.record_end("caller_left", 0);
         }
     }
@@ -163,22 +164,22 @@
     /// Returns the next bytes for the caller, or `None` at the end of the stream.
     ///
     /// An error closes the caller's connection.
-    async fn next_piece(&mut self) -> Option<Result<bytes::Bytes, io::Error>> {
+    async fn next_chunk(&mut self) -> Option<Result<bytes::Bytes, io::Error>> {
         loop {
             let open = self.open.as_mut()?;
             if let Some(first) = open.first.take() {
                 return Some(Ok(first.bytes));
             }
-            let attempt_flow::Answered {
+            let attempt_flow::RespondingAttempt {
                 slot,
                 open: response,
-            } = &mut open.answered;
+            } = &mut open.responding;
             let waiting = next_event(&mut response.incoming, &mut open.splitter);
             let awaited = slow_attempt::Awaited::NextEvent;
-            let next = match self.relay.wait_or_move(slot, awaited, waiting).await {
-                Waited::Came(end) => self.relay.accept(end),
-                Waited::Lost(waited) => EventEnd::Cut(no_event(waited)),
-                Waited::Moved(next, waited) => {
+            let next = match self.relay.wait_or_hand_off(slot, awaited, waiting).await {
+                Waited::Done(end) => self.relay.check_order(end),
+                Waited::Lost(waited) => EventResult::Truncated(no_event(waited)),
+                Waited::HandedOff(next, waited) => {
                     let reason = no_event(waited);
                     self.relay.record_attempt(&slot.endpoint.id, "cut", &reason);
                     self.open = None;
@@ -189,23 +190,23 @@
                 }
             };
             match next {
-                EventEnd::Event(event) => {
+                EventResult::Event(event) => {
                     slot.record_progress();
                     return Some(Ok(event.bytes));
                 }
-                EventEnd::Finished => {
+                EventResult::Finished => {
                     if let Some(open) = self.open.take() {
-                        self.relay.give_back(open.answered);
+                        self.relay.finish_response(open.responding);
                     }
-                    self.is_over = true;
+                    self.is_end_recorded = true;
                     self.relay.record_end(ANSWERED, StatusCode::OK.as_u16());
                     return None;
                 }
-                EventEnd::Cut(reason) => {
-                    self.relay.record_broken(slot, "cut", &reason);
+                EventResult::Truncated(reason) => {
+                    self.relay.record_truncated(slot, "cut", &reason);
                     slot.record_failed(true);
                     self.open = None;
-                    if let Err(reason) = self.go_on_after(reason).await {
+                    if let Err(reason) = self.resume_after(reason).await {
                         return Some(Err(self.give_up(&reason)));
                     }
                 }
@@ -220,18 +221,18 @@
         log::info!(
             "event=stream_given_up request={} why=\"{reason}\" left_ms={}",
             relay.request.terms.id.as_deref().unwrap_or("-"),
-            relay.left().as_millis(),
+            relay.time_left().as_millis(),
         );
-        self.is_over = true;
+        self.is_end_recorded = true;
         relay.record_end("cut", 0);
         io::Error::other(reason.to_owned())
     }
 
     /// Resumes the stream at another endpoint after its run failed.
-    async fn go_on_after(&mut self, reason: String) -> Result<(), String> {
+    async fn resume_after(&mut self, reason: String) -> Result<(), String> {
         match self.relay.after_unknown(reason) {
             attempt_flow::NextStep::GiveUp(e) => Err(format!("{e:?}")),
-            attempt_flow::NextStep::Again => self.resume(None).await,
+            attempt_flow::NextStep::Retry => self.resume(None).await,
         }
     }
 
@@ -239,11 +240,11 @@
     async fn resume(&mut self, sent: Option<Box<attempt_flow::SentAttempt>>) -> Result<(), String> {
         let served = self.relay.open_stream(sent).await;
         match served {
-            Ok(Served::Stream(_, open)) => {
+            Ok(ServedResponse::Stream(_, open)) => {
                 self.open = Some(open);
                 Ok(())
             }
-            Ok(Served::Whole(response)) => Err(format!(
+            Ok(ServedResponse::Full(response)) => Err(format!(
                 "the attempt to resume got status {}",
                 response.status()
             )),
@@ -254,22 +255,22 @@
 
 /// Waits for the next complete event.
 async fn next_event(
-    incoming: &mut connection::IncomingAnswer,
+    incoming: &mut connection::IncomingResponse,
     splitter: &mut event_split::EventSplitter,
-) -> EventEnd {
+) -> EventResult {
     loop {
         match splitter.next_event() {
-            Ok(Some(event)) => return EventEnd::Event(event),
+            Ok(Some(event)) => return EventResult::Event(event),
             Ok(None) => {}
-            Err(e) => return EventEnd::Cut(e.to_string()),
+            Err(e) => return EventResult::Truncated(e.to_string()),
         }
         match incoming.next_bytes().await {
             Ok(Some(bytes)) => splitter.push(&bytes),
-            Ok(None) if splitter.has_rest() => {
-                return EventEnd::Cut("the stream ended within an event".into())
+            Ok(None) if splitter.has_partial_event() => {
+                return EventResult::Truncated("the stream ended within an event".into())
             }
-            Ok(None) => return EventEnd::Finished,
-            Err(e) => return EventEnd::Cut(e.to_string()),
+            Ok(None) => return EventResult::Finished,
+            Err(e) => return EventResult::Truncated(e.to_string()),
         }
     }
 }
--- a/src/serving/event_split.rs
+++ b/src/serving/event_split.rs
@@ -50,7 +50,7 @@
     }
 
     /// Returns whether the buffer holds an incomplete event.
-    pub fn has_rest(&self) -> bool {
+    pub fn has_partial_event(&self) -> bool {
         !self.pending.is_empty()
     }
 
--- a/src/serving/item_run.rs
+++ b/src/serving/item_run.rs
@@ -183,7 +183,7 @@
         let status = open.incoming.head.status.as_u16();
         match status {
             200..=299 => {
-                self.read_events(open.incoming, resume_after, open.notes.idle_limit)
+                self.read_events(open.incoming, resume_after, open.metadata.idle_limit)
                     .await
             }
             422 => RunEnd::Impossible,
@@ -220,7 +220,7 @@
 
     async fn read_events(
         &self,
-        mut incoming: connection::IncomingAnswer,
+        mut incoming: connection::IncomingResponse,
         resumed_after: Option<u64>,
         idle_limit: Option<time::Duration>,
     ) -> RunEnd {
@@ -247,7 +247,7 @@
             }
             match tokio::time::timeout(GAP_TIMEOUT, incoming.next_bytes()).await {
                 Ok(Ok(Some(bytes))) => splitter.push(&bytes),
-                Ok(Ok(None)) if splitter.has_rest() => {
+                Ok(Ok(None)) if splitter.has_partial_event() => {
                     return RunEnd::Cut("the stream ended within an event".into())
                 }
                 Ok(Ok(None)) => break,
--- a/src/serving/job_runner.rs
+++ b/src/serving/job_runner.rs
@@ -149,8 +149,8 @@
     let now = context.clock.now();
     let slot = {
         let mut permits = context.permits.borrow_mut();
-        let shunned = permits.shunned(&context.loads.borrow(), now);
-        permits.begin_batch(&target.service, &shunned, now)
+        let ejected = permits.ejected(&context.loads.borrow(), now);
+        permits.begin_batch(&target.service, &ejected, now)
     };
     let Some((endpoint, number)) = slot else {
         full.insert(target.service.clone(), 1);
--- a/src/serving/listener.rs
+++ b/src/serving/listener.rs
@@ -13,7 +13,7 @@
 /// endpoints and peers.
 const MAX_CONNECTIONS: usize = 2000;
 /// Delay after a failed accept, such as one without free descriptors.
-const ACCEPT_PAUSE: time::Duration = time::Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: time::Duration = time::Duration::from_millis(50);
 /// Idle timeout of a caller's connection.
 ///
 /// Longer than the longest idle limit in a desired state, so that the caller closes first
@@ -26,7 +26,7 @@
 /// Size of the write buffer of a caller's connection, in bytes.
 ///
 /// Small, as each slow reader occupies this much memory.
-const WRITE_BUFFER: usize = 16 << 10;
+const WRITE_BUFFER_BYTES: usize = 16 << 10;
 
 /// Binds an address with `SO_REUSEADDR`, so that a restart doesn't wait for old connections.
 ///
@@ -48,7 +48,7 @@
         Ok((socket, _)) => Some(socket),
         Err(e) => {
             log::warn!("event=accept_failed why=\"{e}\"");
-            actix_rt::time::sleep(ACCEPT_PAUSE).await;
+            actix_rt::time::sleep(ACCEPT_RETRY_DELAY).await;
             None
         }
     }
@@ -57,13 +57,13 @@
 /// Guard that counts an open connection until it is dropped.
 struct OpenConnection {
     count: rc::Rc<cell::Cell<usize>>,
-    freed: rc::Rc<tokio::sync::Notify>,
+    closed: rc::Rc<tokio::sync::Notify>,
 }
 
 impl Drop for OpenConnection {
     fn drop(&mut self) {
         self.count.set(self.count.get() - 1);
-        self.freed.notify_one();
+        self.closed.notify_one();
     }
 }
 
@@ -78,7 +78,7 @@
     let listener = bind(address)?;
     let context = context.clone();
     actix_rt::spawn(async move {
-        let waiting = context.waiting_answers.clone();
+        let waiting = context.waiting_responses.clone();
         let handler = caller_handler::CallerHandler::new(context);
         let service = actix_http::HttpService::build()
             .client_request_timeout(HEAD_TIMEOUT)
@@ -86,7 +86,7 @@
             .keep_alive(KEEP_ALIVE)
             // Detects at once that a caller closes its connection while it waits for a response.
             .h1_allow_half_closed(protection::is_disabled("caller_close"))
-            .h1_write_buffer_size(WRITE_BUFFER)
+            .h1_write_buffer_size(WRITE_BUFFER_BYTES)
             .finish(move |request: actix_http::Request| {
                 let response = handler.handle(request);
                 async move { Ok::<_, convert::Infallible>(response.await) }
@@ -117,10 +117,10 @@
     F: std::future::Future<Output = ()> + 'static,
 {
     let count = rc::Rc::new(cell::Cell::new(0_usize));
-    let freed = rc::Rc::new(tokio::sync::Notify::new());
+    let closed = rc::Rc::new(tokio::sync::Notify::new());
     loop {
         if count.get() >= MAX_CONNECTIONS {
-            freed.notified().await;
+            closed.notified().await;
             continue;
         }
         let Some(socket) = accept(listener).await else {
@@ -130,14 +130,14 @@
             log::debug!("event=caller_socket why=\"{e}\"");
         }
         count.set(count.get() + 1);
-        let open = OpenConnection {
+        let guard = OpenConnection {
             count: count.clone(),
-            freed: freed.clone(),
+            closed: closed.clone(),
         };
         let serving = serve(socket);
         actix_rt::spawn(async move {
             serving.await;
-            drop(open);
+            drop(guard);
         });
     }
 }
--- a/src/serving/mod.rs
+++ b/src/serving/mod.rs
@@ -8,7 +8,6 @@
 //! All of it runs on one thread of a process: an instance has one core, and a
 //! hop between threads costs more than the work of a small request.
 
-pub mod answer_copy;
 pub mod attempt;
 pub mod attempt_flow;
 pub mod caller_handler;
@@ -51,8 +50,9 @@
 pub mod ready_items;
 pub mod relay;
 mod request_admission;
+pub mod response_copy;
 pub mod route_table;
-pub mod search_pace;
+pub mod search_backoff;
 pub mod selection;
 pub mod single_flight;
 pub mod slots;
--- a/src/serving/owners.rs
+++ b/src/serving/owners.rs
@@ -6,12 +6,12 @@
 use crate::{clock, decisions::ownership, ids};
 
 /// Interval between two checks for outdated state.
-const TICK: time::Duration = time::Duration::from_millis(50);
+const TICK_INTERVAL: time::Duration = time::Duration::from_millis(50);
 
 /// Interval between two checks of the orders to empty an instance.
 ///
 /// Also the minimum time that the peers have to learn that it is draining.
-const ORDER_LOOK: time::Duration = time::Duration::from_millis(600);
+const ORDER_POLL_INTERVAL: time::Duration = time::Duration::from_millis(600);
 
 /// Time after the start of a gateway during which it owns nothing.
 const SETTLE_TIME: time::Duration = time::Duration::from_secs(3);
@@ -21,16 +21,16 @@
 
 /// Empties this instance when ordered to, and reports lost instances as emptied.
 pub(super) async fn follow_orders(context: rc::Rc<context::ProcessContext>) {
-    let mut answered = collections::BTreeSet::new();
+    let mut reported = collections::BTreeSet::new();
     loop {
-        actix_rt::time::sleep(ORDER_LOOK).await;
+        actix_rt::time::sleep(ORDER_POLL_INTERVAL).await;
         for id in context.fleet.retiring() {
-            if answered.contains(&id) {
+            if reported.contains(&id) {
                 continue;
             }
             if is_emptied(&context, &id) && context.source.report_emptied(id.clone()).await {
                 log::info!("event=retirement_answered instance={id}");
-                answered.insert(id);
+                reported.insert(id);
             }
         }
     }
@@ -42,8 +42,10 @@
 /// first of the owners decides.
 fn is_emptied(context: &context::ProcessContext, id: &ids::InstanceId) -> bool {
     if id == context.id() {
-        let told = context.retiring.replace(true);
-        return told && context.jobs.is_handed_back() && context.permits.borrow().is_empty();
+        let was_retiring = context.retiring.replace(true);
+        return was_retiring
+            && context.jobs.is_handed_back()
+            && context.permits.borrow().is_empty();
     }
     let is_lost = context.members.borrow().is_lost(id, context.clock.now());
     let is_first = context
@@ -76,7 +78,7 @@
             context.loads.borrow_mut().retain(listed);
         }
         tokio::select! {
-            () = actix_rt::time::sleep(TICK) => {}
+            () = actix_rt::time::sleep(TICK_INTERVAL) => {}
             changed = changes.changed() => if changed.is_err() { return },
         }
     }
@@ -94,7 +96,7 @@
             run.address
         );
         context.loads.borrow_mut().forget(&run.id);
-        context.pool.forget(run.address);
+        context.pool.close_idle(run.address);
     }
 }
 
@@ -181,13 +183,13 @@
         owner.is_some_and(|o| o.id == *context.id())
     });
     let owned: Vec<_> = owned.cloned().collect();
-    let doubtful = directory.doubtful().clone();
+    let unverified = directory.doubtful().clone();
     drop(directory);
     let mut permits = context.permits.borrow_mut();
-    permits.set_doubtful(doubtful);
-    let gone = permits.set_owned(&owned);
+    permits.set_unverified(unverified);
+    let dropped = permits.set_owned(&owned);
     drop(permits);
-    for endpoint in &gone {
+    for endpoint in &dropped {
         context.jobs.preempt_owned(endpoint);
     }
     context.jobs.work.notify_one();
--- a/src/serving/peer_calls.rs
+++ b/src/serving/peer_calls.rs
@@ -157,8 +157,8 @@
     }
     let now = context.clock.now();
     let mut permits = context.permits.borrow_mut();
-    let shunned = permits.shunned(&context.loads.borrow(), now);
-    let lent = permits.lend_batch(request, &shunned, now);
+    let ejected = permits.ejected(&context.loads.borrow(), now);
+    let lent = permits.lend_batch(request, &ejected, now);
     let lent = lent.into_iter();
     let slots = lent.map(|(endpoint, number)| peers::BorrowedSlot { endpoint, number });
     slots.collect()
@@ -171,8 +171,8 @@
 ) -> peers::OnlineSlotResponse {
     let now = context.clock.now();
     let mut permits = context.permits.borrow_mut();
-    let shunned = permits.shunned(&context.loads.borrow(), now);
-    let granted = permits.acquire(request, &shunned, now);
+    let ejected = permits.ejected(&context.loads.borrow(), now);
+    let granted = permits.acquire(request, &ejected, now);
     let owns = permits.owns(&request.service);
     let free_slots = permits.free_online_slots(&request.service);
     let free_queue_slots = permits.free_queue_slots(&request.service, request.wait);
--- a/src/serving/permits.rs
+++ b/src/serving/permits.rs
@@ -15,7 +15,7 @@
 /// Number of remembered releases that arrived before the request that they belong to.
 ///
 /// Covers an owner that was suspended for a second at some hundred requests a second.
-const MAX_RETURNED: num::NonZeroUsize = num::NonZeroUsize::new(1024).expect("it is not zero");
+const MAX_EARLY_RELEASES: num::NonZeroUsize = num::NonZeroUsize::new(1024).expect("it is not zero");
 /// Number of slots that batch work leaves free at each endpoint.
 ///
 /// The next online request gets one without a cancellation; for further ones, batch
@@ -32,7 +32,7 @@
 /// Requests last about half a second, so one of eight slots becomes free about every
 /// 60 ms. The work of a lost owner ends after a few seconds, and an endpoint with free
 /// slots must not be idle for longer than a request lasts.
-const REFUSAL_PAUSES: endpoint_backoff::BackoffRange = endpoint_backoff::BackoffRange {
+const REFUSAL_BACKOFF: endpoint_backoff::BackoffRange = endpoint_backoff::BackoffRange {
     first: time::Duration::from_millis(60),
     last: time::Duration::from_millis(960),
     spread: 0.3,
@@ -53,9 +53,9 @@
     /// Number of owned endpoints of the service.
     pub endpoints: usize,
     /// Number of these that the request excludes.
-    pub unwanted: usize,
+    pub excluded: usize,
     /// Number of these that are backed off after a refusal, or are unverified and in use.
-    pub closed: usize,
+    pub unavailable: usize,
     /// Number of online requests that hold slots at them.
     pub online: u32,
     /// Number of processes that hold these slots.
@@ -70,8 +70,8 @@
             f,
             "endpoints={} unwanted={} closed={} online={} holders={} oldest_ms={}",
             self.endpoints,
-            self.unwanted,
-            self.closed,
+            self.excluded,
+            self.unavailable,
             self.online,
             self.holders,
             self.oldest.as_millis(),
@@ -86,7 +86,7 @@
     holder: ids::InstanceRun,
     expiry: clock::MonotonicTime,
     /// When it was granted; `None` if the request had to queue at the endpoint.
-    begun: Option<clock::MonotonicTime>,
+    granted_at: Option<clock::MonotonicTime>,
 }
 
 /// The borrower of a slot for a batch stream.
@@ -101,22 +101,22 @@
 ///
 /// Invariant: each permit of `holders` is in the ledger of its endpoint.
 #[derive(Debug)]
-pub struct PermitBoard {
+pub struct PermitTable {
     ledgers: collections::HashMap<ids::EndpointId, OwnedLedger>,
     holders: collections::HashMap<admission::PermitNumber, PermitHolder>,
     /// Batch streams that other instances run in borrowed slots.
-    lent: collections::HashMap<(ids::EndpointId, admission::StreamNumber), SlotBorrower>,
+    borrowed: collections::HashMap<(ids::EndpointId, admission::StreamNumber), SlotBorrower>,
     /// Estimates of how long online requests of a service hold a slot.
-    holds: collections::HashMap<ids::ServiceName, queue_limit::HoldTimeEstimate>,
+    hold_times: collections::HashMap<ids::ServiceName, queue_limit::HoldTimeEstimate>,
     /// Numbers of permits and of batch requests that were released before they arrived.
     ///
     /// An owner that was suspended may read a newer link first, and so receive the release
     /// of a slot before the request for it.
-    returned: lru::LruCache<admission::PermitNumber, ()>,
+    early_releases: lru::LruCache<admission::PermitNumber, ()>,
     /// Endpoints that are backed off after a refusal.
     refusals: endpoint_backoff::EndpointBackoff,
     /// Endpoints whose identity is not confirmed; each gets one request at a time until then.
-    doubtful: collections::HashSet<ids::EndpointId>,
+    unverified: collections::HashSet<ids::EndpointId>,
 }
 
 #[derive(Debug)]
@@ -127,7 +127,7 @@
 
 impl OwnedLedger {
     fn new(entry: &rc::Rc<directory::EndpointEntry>) -> Self {
-        let mut ledger = admission::EndpointLedger::new(spec_of(entry));
+        let mut ledger = admission::EndpointLedger::new(admission_spec(entry));
         ledger.number_after(u64::from(rand::random::<u32>()) << 16);
         Self {
             entry: entry.clone(),
@@ -150,13 +150,13 @@
         self.ledger.online() + self.ledger.batch() > 0
     }
 
-    fn free(&self) -> i64 {
+    fn spare_slots(&self) -> i64 {
         let held = self.ledger.online() + self.ledger.batch();
         i64::from(self.entry.slots) - i64::from(held)
     }
 }
 
-fn spec_of(entry: &directory::EndpointEntry) -> admission::AdmissionSpec {
+fn admission_spec(entry: &directory::EndpointEntry) -> admission::AdmissionSpec {
     admission::AdmissionSpec {
         policy: admission::BatchPolicy::FixedPreempt,
         max_sequences: entry.slots,
@@ -171,21 +171,21 @@
     }
 }
 
-impl Default for PermitBoard {
+impl Default for PermitTable {
     fn default() -> Self {
         Self {
             ledgers: collections::HashMap::new(),
             holders: collections::HashMap::new(),
-            lent: collections::HashMap::new(),
-            holds: collections::HashMap::new(),
-            returned: lru::LruCache::new(MAX_RETURNED),
-            refusals: endpoint_backoff::EndpointBackoff::new(REFUSAL_PAUSES),
-            doubtful: collections::HashSet::new(),
+            borrowed: collections::HashMap::new(),
+            hold_times: collections::HashMap::new(),
+            early_releases: lru::LruCache::new(MAX_EARLY_RELEASES),
+            refusals: endpoint_backoff::EndpointBackoff::new(REFUSAL_BACKOFF),
+            unverified: collections::HashSet::new(),
         }
     }
 }
 
-impl PermitBoard {
+impl PermitTable {
     /// Replaces the list of owned endpoints.
     ///
     /// Returns the endpoints that are no longer owned or have restarted; their permits and
@@ -195,18 +195,18 @@
         owned: &[rc::Rc<directory::EndpointEntry>],
     ) -> Vec<ids::EndpointId> {
         let listed: collections::HashMap<_, _> = owned.iter().map(|e| (&e.id, e.started)).collect();
-        let is_gone = |(id, owned): &(&ids::EndpointId, &OwnedLedger)| {
+        let is_dropped = |(id, owned): &(&ids::EndpointId, &OwnedLedger)| {
             listed.get(id) != Some(&owned.entry.started)
         };
-        let gone = self.ledgers.iter().filter(is_gone);
-        let gone: Vec<_> = gone.map(|(id, _)| id.clone()).collect();
-        for id in &gone {
+        let dropped = self.ledgers.iter().filter(is_dropped);
+        let dropped: Vec<_> = dropped.map(|(id, _)| id.clone()).collect();
+        for id in &dropped {
             self.ledgers.remove(id);
         }
         let ledgers = &self.ledgers;
         self.holders
             .retain(|_, holder| ledgers.contains_key(&holder.endpoint));
-        self.lent
+        self.borrowed
             .retain(|(endpoint, _), _| ledgers.contains_key(endpoint));
         self.refusals.retain(|id| ledgers.contains_key(id));
         for entry in owned {
@@ -214,12 +214,12 @@
             let ledger = ledger.or_insert_with(|| OwnedLedger::new(entry));
             ledger.entry = entry.clone();
         }
-        gone
+        dropped
     }
 
     /// Sets the endpoints at whose address another endpoint may respond.
-    pub fn set_doubtful(&mut self, doubtful: collections::HashSet<ids::EndpointId>) {
-        self.doubtful = doubtful;
+    pub fn set_unverified(&mut self, unverified: collections::HashSet<ids::EndpointId>) {
+        self.unverified = unverified;
     }
 
     /// Grants a slot to an online request unless all endpoints are full.
@@ -230,23 +230,23 @@
     pub fn acquire(
         &mut self,
         request: &peers::OnlineSlotRequest,
-        shunned: &collections::HashSet<ids::EndpointId>,
+        ejected: &collections::HashSet<ids::EndpointId>,
         now: clock::MonotonicTime,
     ) -> Option<GrantedSlot> {
-        if self.take_returned(request.number) {
+        if self.take_early_release(request.number) {
             return None;
         }
         let usable = self
             .of_service(&request.service)
             .filter(|owned| !request.tried.contains(&owned.entry.id));
         let best = usable.min_by_key(|owned| {
-            let full = owned.free() <= 0;
+            let full = owned.spare_slots() <= 0;
             let load = match full {
                 true => owned.ledger.online(),
                 false => owned.ledger.online() + owned.ledger.batch(),
             };
             (
-                shunned.contains(&owned.entry.id),
+                ejected.contains(&owned.entry.id),
                 full,
                 load,
                 owned.entry.domain != request.domain,
@@ -255,7 +255,7 @@
         })?;
         let is_free = best.free_online_slots() > 0;
         let may_wait =
-            request.may_queue && best.free_queue_slots(self.queue_of(best, request.wait)) > 0;
+            request.may_queue && best.free_queue_slots(self.max_queued(best, request.wait)) > 0;
         if !is_free && !may_wait {
             return None;
         }
@@ -266,7 +266,7 @@
             endpoint: endpoint.clone(),
             holder: request.holder.clone(),
             expiry: now + PERMIT_TTL,
-            begun: is_free.then_some(now),
+            granted_at: is_free.then_some(now),
         };
         self.holders.insert(request.number, holder);
         Some(GrantedSlot {
@@ -285,20 +285,20 @@
         let owned: Vec<_> = ledgers
             .filter(|o| o.entry.service == request.service)
             .collect();
-        let is_unwanted = |owned: &&&OwnedLedger| request.tried.contains(&owned.entry.id);
-        let is_here = |h: &&PermitHolder| {
+        let is_excluded = |owned: &&&OwnedLedger| request.tried.contains(&owned.entry.id);
+        let is_of_service = |h: &&PermitHolder| {
             let ledger = self.ledgers.get(&h.endpoint);
             ledger.is_some_and(|o| o.entry.service == request.service)
         };
-        let held: Vec<_> = self.holders.values().filter(is_here).collect();
+        let held: Vec<_> = self.holders.values().filter(is_of_service).collect();
         let holders: collections::HashSet<_> = held.iter().map(|h| &h.holder).collect();
         let ages = held
             .iter()
             .map(|h| PERMIT_TTL.saturating_sub(h.expiry.since(now)));
         SlotDenial {
             endpoints: owned.len(),
-            unwanted: owned.iter().filter(is_unwanted).count(),
-            closed: owned.len() - self.of_service(&request.service).count(),
+            excluded: owned.iter().filter(is_excluded).count(),
+            unavailable: owned.len() - self.of_service(&request.service).count(),
             online: owned.iter().map(|o| o.ledger.online()).sum(),
             holders: holders.len(),
             oldest: ages.max().unwrap_or_default(),
@@ -306,9 +306,9 @@
     }
 
     /// Returns how many requests may queue at an endpoint if each may wait for `wait`.
-    fn queue_of(&self, owned: &OwnedLedger, wait: time::Duration) -> u32 {
-        let hold = self.holds.get(&owned.entry.service).copied();
-        hold.unwrap_or_default().queue(owned.entry.slots, wait)
+    fn max_queued(&self, owned: &OwnedLedger, wait: time::Duration) -> u32 {
+        let hold_time = self.hold_times.get(&owned.entry.service).copied();
+        hold_time.unwrap_or_default().queue(owned.entry.slots, wait)
     }
 
     /// Releases the permit of a served request and records how long it was held.
@@ -319,11 +319,14 @@
         number: admission::PermitNumber,
         now: clock::MonotonicTime,
     ) -> Option<ids::EndpointId> {
-        let begun = self.holders.get(&number)?.begun;
+        let granted_at = self.holders.get(&number)?.granted_at;
         let endpoint = self.release(number)?;
-        if let (Some(begun), Some(owned)) = (begun, self.ledgers.get(&endpoint)) {
-            let hold = self.holds.entry(owned.entry.service.clone()).or_default();
-            hold.record(now.since(begun));
+        if let (Some(granted_at), Some(owned)) = (granted_at, self.ledgers.get(&endpoint)) {
+            let hold_time = self
+                .hold_times
+                .entry(owned.entry.service.clone())
+                .or_default();
+            hold_time.record(now.since(granted_at));
         }
         self.refusals.forget(&endpoint);
         Some(endpoint)
@@ -332,7 +335,7 @@
     /// Releases a permit; returns its endpoint if the permit is known.
     pub fn release(&mut self, number: admission::PermitNumber) -> Option<ids::EndpointId> {
         let Some(holder) = self.holders.remove(&number) else {
-            self.returned.put(number, ());
+            self.early_releases.put(number, ());
             return None;
         };
         if let Some(owned) = self.ledgers.get_mut(&holder.endpoint) {
@@ -345,13 +348,13 @@
     pub fn release_ended(&mut self, has_ended: impl Fn(&ids::InstanceRun) -> bool) -> usize {
         let held = self.holders.iter().filter(|(_, h)| has_ended(&h.holder));
         let held: Vec<_> = held.map(|(number, _)| *number).collect();
-        let lent = self.lent.iter().filter(|(_, b)| has_ended(&b.holder));
-        let lent: Vec<_> = lent.map(|(key, _)| key.clone()).collect();
-        let released = held.len() + lent.len();
+        let borrowed = self.borrowed.iter().filter(|(_, b)| has_ended(&b.holder));
+        let borrowed: Vec<_> = borrowed.map(|(key, _)| key.clone()).collect();
+        let released = held.len() + borrowed.len();
         for number in held {
             self.release(number);
         }
-        for (endpoint, number) in lent {
+        for (endpoint, number) in borrowed {
             self.end_batch(&endpoint, number);
         }
         released
@@ -363,7 +366,7 @@
         endpoint: &ids::EndpointId,
         number: admission::StreamNumber,
     ) -> Option<ids::InstanceId> {
-        let borrower = self.lent.remove(&(endpoint.clone(), number))?;
+        let borrower = self.borrowed.remove(&(endpoint.clone(), number))?;
         Some(borrower.holder.instance)
     }
 
@@ -373,27 +376,27 @@
     }
 
     /// Returns the owned endpoints that are ejected for failures.
-    pub fn shunned(
+    pub fn ejected(
         &self,
-        loads: &selection::LoadBoard,
+        loads: &selection::LoadTable,
         now: clock::MonotonicTime,
     ) -> collections::HashSet<ids::EndpointId> {
-        loads.shunned(self.ledgers.len(), |id| self.ledgers.contains_key(id), now)
+        loads.ejected(self.ledgers.len(), |id| self.ledgers.contains_key(id), now)
     }
 
     /// Lends slots for batch streams to a peer, up to the requested number.
     pub fn lend_batch(
         &mut self,
         request: &peers::BatchSlotRequest,
-        shunned: &collections::HashSet<ids::EndpointId>,
+        ejected: &collections::HashSet<ids::EndpointId>,
         now: clock::MonotonicTime,
     ) -> Vec<(ids::EndpointId, admission::StreamNumber)> {
-        let mut lent = Vec::new();
-        if self.take_returned(request.number) {
-            return lent;
+        let mut borrowed = Vec::new();
+        if self.take_early_release(request.number) {
+            return borrowed;
         }
-        while lent.len() < request.count {
-            let Some((entry, number)) = self.begin_batch(&request.service, shunned, now) else {
+        while borrowed.len() < request.count {
+            let Some((entry, number)) = self.begin_batch(&request.service, ejected, now) else {
                 break;
             };
             let key = (entry.id.clone(), number);
@@ -401,22 +404,22 @@
                 holder: request.holder.clone(),
                 request: request.number,
             };
-            self.lent.insert(key.clone(), borrower);
-            lent.push(key);
+            self.borrowed.insert(key.clone(), borrower);
+            borrowed.push(key);
         }
-        lent
+        borrowed
     }
 
     /// Ends the batch streams lent to a request whose response was lost.
     ///
     /// The cancellation may arrive before the request, and is then remembered.
     pub fn cancel_lent(&mut self, request: u64) {
-        let lent = self.lent.iter().filter(|(_, b)| b.request == request);
-        let lent: Vec<_> = lent.map(|(key, _)| key.clone()).collect();
-        if lent.is_empty() {
-            self.returned.put(request, ());
+        let borrowed = self.borrowed.iter().filter(|(_, b)| b.request == request);
+        let borrowed: Vec<_> = borrowed.map(|(key, _)| key.clone()).collect();
+        if borrowed.is_empty() {
+            self.early_releases.put(request, ());
         }
-        for (endpoint, number) in lent {
+        for (endpoint, number) in borrowed {
             self.end_batch(&endpoint, number);
         }
     }
@@ -441,7 +444,7 @@
 
     /// Returns whether no slot is held.
     pub fn is_empty(&self) -> bool {
-        self.holders.is_empty() && self.lent.is_empty()
+        self.holders.is_empty() && self.borrowed.is_empty()
     }
 
     /// Releases the expired permits; returns their endpoints and holders.
@@ -462,8 +465,8 @@
     }
 
     /// Returns whether a number was released before its request arrived, and forgets it.
-    pub fn take_returned(&mut self, number: admission::PermitNumber) -> bool {
-        self.returned.pop(&number).is_some()
+    pub fn take_early_release(&mut self, number: admission::PermitNumber) -> bool {
+        self.early_releases.pop(&number).is_some()
     }
 
     /// Returns whether this process owns endpoints of a service.
@@ -482,7 +485,7 @@
     /// `wait`.
     pub fn free_queue_slots(&self, service: &ids::ServiceName, wait: time::Duration) -> u32 {
         let owned = self.of_service(service);
-        let free_slots = owned.map(|owned| owned.free_queue_slots(self.queue_of(owned, wait)));
+        let free_slots = owned.map(|owned| owned.free_queue_slots(self.max_queued(owned, wait)));
         free_slots.sum()
     }
 
@@ -494,8 +497,8 @@
         let owned = self.ledgers.values();
         owned.filter(move |owned| {
             let id = &owned.entry.id;
-            let is_waited_for = self.doubtful.contains(id) && owned.is_held();
-            owned.entry.service == *service && !self.refusals.is_backed_off(id) && !is_waited_for
+            let awaits_response = self.unverified.contains(id) && owned.is_held();
+            owned.entry.service == *service && !self.refusals.is_backed_off(id) && !awaits_response
         })
     }
 
@@ -515,28 +518,28 @@
     pub fn begin_batch(
         &mut self,
         service: &ids::ServiceName,
-        shunned: &collections::HashSet<ids::EndpointId>,
+        ejected: &collections::HashSet<ids::EndpointId>,
         now: clock::MonotonicTime,
     ) -> Option<(rc::Rc<directory::EndpointEntry>, admission::StreamNumber)> {
-        let (refusals, doubtful) = (&self.refusals, &self.doubtful);
+        let (refusals, unverified) = (&self.refusals, &self.unverified);
         let usable = self.ledgers.values_mut().filter(|owned| {
             let id = &owned.entry.id;
-            let is_waited_for = doubtful.contains(id) && owned.is_held();
-            let is_open = !refusals.is_backed_off(id) && !is_waited_for;
-            owned.entry.service == *service && !shunned.contains(id) && is_open
+            let awaits_response = unverified.contains(id) && owned.is_held();
+            let is_open = !refusals.is_backed_off(id) && !awaits_response;
+            owned.entry.service == *service && !ejected.contains(id) && is_open
         });
-        let roomy = usable.filter_map(|owned| {
+        let available = usable.filter_map(|owned| {
             let free_slots = owned.ledger.free_batch_slots(now);
             (free_slots > 0).then_some(owned)
         });
-        let best = roomy.max_by_key(|owned| (owned.free(), owned.entry.id.clone()))?;
+        let best = available.max_by_key(|owned| (owned.spare_slots(), owned.entry.id.clone()))?;
         let number = best.ledger.begin_stream(now);
         Some((best.entry.clone(), number))
     }
 
     /// Ends a batch stream; does nothing if it was preempted before.
     pub fn end_batch(&mut self, endpoint: &ids::EndpointId, number: admission::StreamNumber) {
-        self.lent.remove(&(endpoint.clone(), number));
+        self.borrowed.remove(&(endpoint.clone(), number));
         if let Some(owned) = self.ledgers.get_mut(endpoint) {
             owned.ledger.end_stream(number);
         }
--- a/src/serving/process.rs
+++ b/src/serving/process.rs
@@ -102,7 +102,7 @@
     log::info!(
         "event=stopped active={} unsent={} after_ms={}",
         context.active.get(),
-        context.waiting_answers.get(),
+        context.waiting_responses.get(),
         begun.elapsed().as_millis()
     );
 }
--- a/src/serving/relay.rs
+++ b/src/serving/relay.rs
@@ -5,7 +5,7 @@
 use actix_http::{header, StatusCode};
 
 use super::{
-    answer_copy, attempt, attempt_flow, context, crash_guard, event_flow, request_admission,
+    attempt, attempt_flow, context, crash_guard, event_flow, request_admission, response_copy,
     route_table, slots, suspension, wire,
 };
 use crate::{clock, decisions::crash_ledger::CrashVerdict, http_server, ids};
@@ -14,7 +14,7 @@
 pub(super) const ANSWERED: &str = "answered";
 
 /// Response body for a request that is quarantined for crashing endpoints.
-const HELD_BODY: &str = "held back: each endpoint that began to run this request crashed\n";
+const QUARANTINED_BODY: &str = "held back: each endpoint that began to run this request crashed\n";
 
 /// An active request of a caller.
 pub struct CallerRequest {
@@ -77,7 +77,7 @@
     /// resumes a stream.
     pub(super) last_event: Option<u64>,
     /// Whether the head of a stream was sent to the caller.
-    pub(super) started: bool,
+    pub(super) is_started: bool,
     /// Time from the arrival of the request to the first event sent to the caller.
     first_event: std::cell::Cell<Option<time::Duration>>,
     _active: ActiveRequest,
@@ -95,7 +95,7 @@
         request,
         log: attempt_flow::AttemptLog::default(),
         last_event,
-        started: false,
+        is_started: false,
         first_event: std::cell::Cell::new(None),
         _active: active,
     };
@@ -111,31 +111,31 @@
         false => relay.full_response().await,
     };
     match outcome {
-        Ok(Served::Whole(response)) => {
+        Ok(ServedResponse::Full(response)) => {
             relay.record_end(ANSWERED, response.status().as_u16());
             response
         }
-        Ok(Served::Stream(head, stream)) => relay.into_stream(head, stream),
+        Ok(ServedResponse::Stream(head, stream)) => relay.into_stream(head, stream),
         Err(e) => relay.refuse(&e),
     }
 }
 
 /// The response of a request.
-pub(super) enum Served {
-    Whole(http_server::HttpResponse),
+pub(super) enum ServedResponse {
+    Full(http_server::HttpResponse),
     Stream(actix_http::ResponseHead, Box<event_flow::OpenStream>),
 }
 
 impl RequestRelay {
     /// Returns the time left until the deadline.
-    pub(super) fn left(&self) -> time::Duration {
+    pub(super) fn time_left(&self) -> time::Duration {
         let now = clock::BootInstant::now();
         self.request.deadline.duration_since(now)
     }
 
     /// Resolves when the deadline of the request has passed.
-    pub(super) async fn time_over(&self) {
-        suspension::time_over(&self.context, || self.left()).await;
+    pub(super) async fn wait_for_deadline(&self) {
+        suspension::time_over(&self.context, || self.time_left()).await;
     }
 
     /// Returns whether the request may run more than once.
@@ -156,7 +156,7 @@
     ///
     /// The wait goes on, as the request may not run elsewhere; the report lets other
     /// requests avoid the endpoint.
-    pub(super) async fn suspecting<T>(
+    pub(super) async fn report_if_slow<T>(
         &self,
         slot: &slots::HeldSlot,
         waiting: impl std::future::Future<Output = T>,
@@ -180,28 +180,28 @@
     ///
     /// # Errors
     /// No attempt succeeded, or no further one is allowed.
-    async fn full_response(&mut self) -> Result<Served, FinalError> {
+    async fn full_response(&mut self) -> Result<ServedResponse, FinalError> {
         loop {
-            let mut answered = self.next_answer(None).await?;
-            let reading = answer_copy::read_whole(&mut answered.open.incoming);
+            let mut responding = self.next_response(None).await?;
+            let reading = response_copy::read_full_body(&mut responding.open.incoming);
             let read = tokio::select! {
                 biased;
                 read = reading => read,
-                () = self.time_over() => return Err(FinalError::Late),
+                () = self.wait_for_deadline() => return Err(FinalError::Late),
             };
             match read {
                 Ok(body) => {
-                    let response = self.whole(&answered.open.incoming.head, body);
-                    self.give_back(answered);
-                    return Ok(Served::Whole(response));
+                    let response = self.build_response(&responding.open.incoming.head, body);
+                    self.finish_response(responding);
+                    return Ok(ServedResponse::Full(response));
                 }
                 Err(e) => {
-                    self.record_broken(&answered.slot, "cut", &e.to_string());
-                    answered.slot.record_failed(false);
-                    drop(answered);
+                    self.record_truncated(&responding.slot, "cut", &e.to_string());
+                    responding.slot.record_failed(false);
+                    drop(responding);
                     match self.after_unknown(e.to_string()) {
                         attempt_flow::NextStep::GiveUp(e) => return Err(e),
-                        attempt_flow::NextStep::Again => continue,
+                        attempt_flow::NextStep::Retry => continue,
                     }
                 }
             }
@@ -209,45 +209,50 @@
     }
 
     /// Builds the caller's response from an endpoint's head and full body.
-    pub(super) fn whole(
+    pub(super) fn build_response(
         &self,
         head: &actix_http::ResponseHead,
         body: bytes::Bytes,
     ) -> http_server::HttpResponse {
         let mut response = actix_http::Response::build(head.status);
-        answer_copy::copy_headers(&self.context, head, &mut response);
-        self.mark_close(&mut response);
+        response_copy::copy_forwarded_headers(&self.context, head, &mut response);
+        self.close_if_stopping(&mut response);
         response.body(body).map_into_boxed_body()
     }
 
     /// Closes the caller's connection after the response if the process is stopping.
-    pub(super) fn mark_close(&self, response: &mut actix_http::ResponseBuilder) {
+    pub(super) fn close_if_stopping(&self, response: &mut actix_http::ResponseBuilder) {
         if self.context.is_stopping() {
             response.force_close();
         }
     }
 
     /// Records a complete response and returns its connection to the pool.
-    pub(super) fn give_back(&self, answered: attempt_flow::Answered) {
-        if !attempt::is_failure(answered.open.incoming.head.status) {
-            answered.slot.record_served();
+    pub(super) fn finish_response(&self, responding: attempt_flow::RespondingAttempt) {
+        if !attempt::is_failure(responding.open.incoming.head.status) {
+            responding.slot.record_served();
         }
-        let limit = answered.open.notes.idle_limit;
-        if let Some(connection) = answered.open.incoming.into_connection() {
+        let limit = responding.open.metadata.idle_limit;
+        if let Some(connection) = responding.open.incoming.into_connection() {
             self.context.pool.put(connection, limit);
         }
     }
 
     /// Records the time to the first event.
-    pub(super) fn observe_first(&self) {
+    pub(super) fn record_first_event(&self) {
         let duration = self.request.arrived.elapsed();
         self.first_event.set(Some(duration));
         let metrics = &self.context.metrics;
-        metrics.observe(&metrics.first_token, self.series(), self.label(), duration);
+        metrics.observe(
+            &metrics.first_token,
+            self.metric_series(),
+            self.label(),
+            duration,
+        );
     }
 
     /// Returns the label of its metric series: its workspace, or its route if it has none.
-    fn series(&self) -> &str {
+    fn metric_series(&self) -> &str {
         let workspace = self.request.workspace.as_ref();
         workspace.map_or(&self.request.route.name, |id| id.as_str())
     }
@@ -258,13 +263,18 @@
 
     /// Logs and counts the end of a request.
     pub(super) fn record_end(&self, outcome: &str, status: u16) {
-        let spent = self.request.arrived.elapsed();
+        let duration = self.request.arrived.elapsed();
         if outcome == ANSWERED {
             crash_guard::record_served(&self.context, self.request.forwarded.digest);
         }
         let metrics = &self.context.metrics;
         metrics.responses.with_label_values(&[outcome]).inc();
-        metrics.observe(&metrics.full_response, self.series(), self.label(), spent);
+        metrics.observe(
+            &metrics.full_response,
+            self.metric_series(),
+            self.label(),
+            duration,
+        );
         log::info!(
             "event=request_end request={} digest={} workspace={} route={} version={} outcome={outcome} status={status} ms={} first_ms={} objective_ms={} ran={} not_run={} endpoint={} last_event={}",
             self.request.terms.id.as_deref().unwrap_or("-"),
@@ -272,8 +282,8 @@
             self.request.workspace.as_ref().map_or("-", |id| id.as_str()),
             self.request.route.name,
             self.context.fleet.table().version(),
-            spent.as_millis(),
-            self.first_event.get().unwrap_or(spent).as_millis(),
+            duration.as_millis(),
+            self.first_event.get().unwrap_or(duration).as_millis(),
             self.request.route.objective.as_millis(),
             self.log.ran,
             self.log.not_run,
@@ -296,19 +306,19 @@
         );
         if matches!(error, FinalError::NotRun(..) | FinalError::Held(_)) {
             if let Some(token) = self.request.token.take() {
-                token.give_back();
+                token.refund();
             }
         }
         self.record_end(outcome, status.as_u16());
         let mut response = actix_http::Response::build(status);
-        self.mark_close(&mut response);
+        self.close_if_stopping(&mut response);
         if let FinalError::NotRun(delay, _) | FinalError::Held(delay) = error {
             response.insert_header((header::RETRY_AFTER, format!("{:.2}", delay.as_secs_f64())));
         }
-        let told = match error {
-            FinalError::Held(_) => HELD_BODY,
+        let body = match error {
+            FinalError::Held(_) => QUARANTINED_BODY,
             _ => outcome,
         };
-        response.body(told).map_into_boxed_body()
+        response.body(body).map_into_boxed_body()
     }
 }
--- a/src/serving/request_admission.rs
+++ b/src/serving/request_admission.rs
@@ -16,7 +16,7 @@
 /// `Retry-After` for a key that this process does not know yet.
 ///
 /// It is short, as the next try goes to another gateway.
-const UNDECIDED_PAUSE: time::Duration = time::Duration::from_millis(100);
+const UNDECIDED_RETRY_AFTER: time::Duration = time::Duration::from_millis(100);
 /// Authentication scheme in the `WWW-Authenticate` header.
 const CHALLENGE: &str = "Token";
 
@@ -31,7 +31,7 @@
 
 impl SpentToken {
     /// Refunds the token, as the request did not run.
-    pub(super) fn give_back(self) {
+    pub(super) fn refund(self) {
         let now = self.context.clock.now();
         self.context.limiter.give_back(&self.workspace, now);
     }
@@ -58,8 +58,8 @@
         },
         api_key::PresentedKey::Missing | api_key::PresentedKey::Malformed => KeyMatch::NoKey,
     };
-    let view = key_view(context, table.version());
-    match authentication::authenticate(found, is_public, view) {
+    let freshness = key_freshness(context, table.version());
+    match authentication::authenticate(found, is_public, freshness) {
         KeyVerdict::Anonymous => Ok(None),
         KeyVerdict::Workspace(spec) => Ok(Some(spec)),
         KeyVerdict::Unauthorized => Err(unauthorized(context, table, terms)),
@@ -67,8 +67,11 @@
     }
 }
 
-/// Returns whether the known API keys may be out of date.
-fn key_view(context: &context::ProcessContext, version: route_table::StateVersion) -> KeyFreshness {
+/// Returns whether the known API keys are current.
+fn key_freshness(
+    context: &context::ProcessContext,
+    version: route_table::StateVersion,
+) -> KeyFreshness {
     let now = context.clock.now();
     let members = context.members.borrow();
     let is_newer_known = members.with_newer_state(version, now).next().is_some();
@@ -104,7 +107,7 @@
     record_rejected(context, table, terms, "key_undecided");
     refused(
         StatusCode::SERVICE_UNAVAILABLE,
-        UNDECIDED_PAUSE,
+        UNDECIDED_RETRY_AFTER,
         "the API key is not known here yet\n",
     )
 }
--- a/src/serving/answer_copy.rs
+++ b/src/serving/response_copy.rs
@@ -3,19 +3,19 @@
 use super::{connection, context};
 
 /// Largest response that is buffered until it is complete, in bytes.
-const MAX_HELD_BYTES: usize = 1 << 20;
+const MAX_BUFFERED_BYTES: usize = 1 << 20;
 
 /// Reads the body of a response to its end.
 ///
 /// # Errors
-/// The body was truncated, is malformed or exceeds `MAX_HELD_BYTES`.
-pub(super) async fn read_whole(
-    incoming: &mut connection::IncomingAnswer,
+/// The body was truncated, is malformed or exceeds `MAX_BUFFERED_BYTES`.
+pub(super) async fn read_full_body(
+    incoming: &mut connection::IncomingResponse,
 ) -> Result<bytes::Bytes, connection::ExchangeError> {
     let mut body = bytes::BytesMut::new();
     while let Some(bytes) = incoming.next_bytes().await? {
-        if body.len() + bytes.len() > MAX_HELD_BYTES {
-            let reason = format!("the response is larger than {MAX_HELD_BYTES} bytes");
+        if body.len() + bytes.len() > MAX_BUFFERED_BYTES {
+            let reason = format!("the response is larger than {MAX_BUFFERED_BYTES} bytes");
             return Err(connection::ExchangeError::Malformed(reason));
         }
         body.extend_from_slice(&bytes);
@@ -24,14 +24,14 @@
 }
 
 /// Clones the head of a response, which the library's type doesn't.
-pub(super) fn copy_head(head: &actix_http::ResponseHead) -> actix_http::ResponseHead {
+pub(super) fn clone_head(head: &actix_http::ResponseHead) -> actix_http::ResponseHead {
     let mut copy = actix_http::ResponseHead::new(head.status);
     copy.headers = head.headers.clone();
     copy
 }
 
 /// Copies the headers that are forwarded to the caller.
-pub(super) fn copy_headers(
+pub(super) fn copy_forwarded_headers(
     context: &context::ProcessContext,
     head: &actix_http::ResponseHead,
     response: &mut actix_http::ResponseBuilder,
--- a/src/serving/search_pace.rs
+++ b/src/serving/search_backoff.rs
@@ -16,11 +16,11 @@
 
 /// Backoff of one search; each delay is twice the previous one.
 #[derive(Debug, Clone, Copy)]
-pub struct SearchPace {
+pub struct SearchBackoff {
     next: time::Duration,
 }
 
-impl Default for SearchPace {
+impl Default for SearchBackoff {
     fn default() -> Self {
         Self {
             next: INITIAL_DELAY,
@@ -28,7 +28,7 @@
     }
 }
 
-impl SearchPace {
+impl SearchBackoff {
     /// Returns the next delay and doubles the one after it.
     pub fn next_delay(&mut self) -> time::Duration {
         let delay = self.next;
--- a/src/serving/selection.rs
+++ b/src/serving/selection.rs
@@ -11,7 +11,7 @@
 const REPORT_AGE: time::Duration = time::Duration::from_millis(500);
 
 /// Largest share of a service's endpoints that may be ejected at once, in percent.
-const MAX_SHUNNED_PERCENT: usize = 40;
+const MAX_EJECTED_PERCENT: usize = 40;
 
 /// Known load of one endpoint.
 #[derive(Debug, Clone, Default)]
@@ -25,7 +25,7 @@
 
 /// Loads and health of endpoints, as observed by one process.
 #[derive(Debug, Default)]
-pub struct LoadBoard {
+pub struct LoadTable {
     loads: collections::HashMap<ids::EndpointId, EndpointLoad>,
     /// Health by the failures of this process's own requests.
     pub health: health::HealthTracker,
@@ -33,7 +33,7 @@
     reported: health::HealthTracker,
 }
 
-impl LoadBoard {
+impl LoadTable {
     /// Counts the start of a request at the endpoint.
     pub fn begin(&mut self, id: &ids::EndpointId) {
         match self.loads.get_mut(id) {
@@ -55,9 +55,9 @@
         failure: &health::FailureReport,
         now: clock::MonotonicTime,
     ) -> bool {
-        let before = self.reported.is_ejected(id, now);
+        let was_ejected = self.reported.is_ejected(id, now);
         self.reported.record_report(id, failure, now);
-        !before && self.reported.is_ejected(id, now)
+        !was_ejected && self.reported.is_ejected(id, now)
     }
 
     /// Counts the end of a request.
@@ -107,8 +107,8 @@
         let Some(load) = self.loads.get(id) else {
             return 0;
         };
-        let fresh = |at: clock::MonotonicTime| now.since(at) < REPORT_AGE;
-        let others = if load.reported_at.is_some_and(fresh) {
+        let is_fresh = |at: clock::MonotonicTime| now.since(at) < REPORT_AGE;
+        let others = if load.reported_at.is_some_and(is_fresh) {
             load.others
         } else {
             0
@@ -125,20 +125,21 @@
 
     /// Returns the endpoints of a list that are ejected for failures.
     ///
-    /// Returns none if their share exceeds `MAX_SHUNNED_PERCENT`: the fault is then likely
+    /// Returns none if their share exceeds `MAX_EJECTED_PERCENT`: the fault is then likely
     /// elsewhere, and the other endpoints would be overloaded. `count` is the length of the
     /// list. The cost depends only on the number of ejected endpoints.
-    pub fn shunned(
+    pub fn ejected(
         &self,
         count: usize,
         is_listed: impl Fn(&ids::EndpointId) -> bool,
         now: clock::MonotonicTime,
     ) -> collections::HashSet<ids::EndpointId> {
-        let out = self.health.ejected(now).chain(self.reported.ejected(now));
-        let out: collections::HashSet<_> = out.filter(|id| is_listed(id)).cloned().collect();
-        match out.len() * 100 > count * MAX_SHUNNED_PERCENT {
+        let ejected = self.health.ejected(now).chain(self.reported.ejected(now));
+        let ejected: collections::HashSet<_> =
+            ejected.filter(|id| is_listed(id)).cloned().collect();
+        match ejected.len() * 100 > count * MAX_EJECTED_PERCENT {
             true => collections::HashSet::new(),
-            false => out,
+            false => ejected,
         }
     }
 
@@ -148,18 +149,18 @@
         &self,
         candidates: &[rc::Rc<directory::EndpointEntry>],
         tried: &[ids::EndpointId],
-        near: &ids::DomainName,
+        domain: &ids::DomainName,
         now: clock::MonotonicTime,
         rng: &mut impl Rng,
     ) -> Option<rc::Rc<directory::EndpointEntry>> {
         let is_listed = |id: &ids::EndpointId| candidates.iter().any(|e| e.id == *id);
-        let shunned = self.shunned(candidates.len(), is_listed, now);
+        let ejected = self.ejected(candidates.len(), is_listed, now);
         let untried = candidates.iter().filter(|e| !tried.contains(&e.id));
         let chosen = untried.min_by_key(|e| {
             (
-                shunned.contains(&e.id),
+                ejected.contains(&e.id),
                 self.load_of(&e.id, now),
-                e.domain != *near,
+                e.domain != *domain,
                 rng.random::<u32>(),
             )
         });
--- a/src/serving/slots.rs
+++ b/src/serving/slots.rs
@@ -15,9 +15,9 @@
 /// A round trip takes 1 to 4 ms, so an owner that takes longer is lost or overloaded.
 const OWNER_TIMEOUT: time::Duration = time::Duration::from_millis(40);
 /// Maximum number of owners queried before a request is sent without a permit or refused.
-const OWNERS_ASKED: usize = 3;
+const MAX_QUERIED_OWNERS: usize = 3;
 /// Number of free slots assumed of an owner that has not reported any.
-const UNKNOWN_ROOM: u32 = 8;
+const ASSUMED_FREE_SLOTS: u32 = 8;
 
 /// A slot that is held until this value is dropped.
 pub struct HeldSlot {
@@ -26,13 +26,13 @@
     pub endpoint: rc::Rc<directory::EndpointEntry>,
     permit: Option<HeldPermit>,
     is_served: cell::Cell<bool>,
-    taken: clock::MonotonicTime,
+    acquired_at: clock::MonotonicTime,
 }
 
 impl HeldSlot {
     /// Returns when the slot was acquired.
-    pub fn taken(&self) -> clock::MonotonicTime {
-        self.taken
+    pub fn acquired_at(&self) -> clock::MonotonicTime {
+        self.acquired_at
     }
 
     /// Records that the endpoint served the request, or has begun its response.
@@ -43,7 +43,7 @@
             self.context.fleet.record_named(&self.endpoint.id);
             let mut firsts = self.context.firsts.borrow_mut();
             let first = firsts.entry(self.endpoint.service.clone()).or_default();
-            first.record(self.context.clock.now().since(self.taken));
+            first.record(self.context.clock.now().since(self.acquired_at));
         }
     }
 
@@ -60,7 +60,7 @@
     /// `is_silent` says that it gave no response at all.
     pub fn record_failed(&self, is_silent: bool) {
         self.is_served.set(false);
-        self.tell(endpoint_reports::failure(&self.context, is_silent));
+        self.report(endpoint_reports::failure(&self.context, is_silent));
     }
 
     /// Records that the endpoint did not run an attempt, and reports it to the owner.
@@ -68,11 +68,11 @@
         self.is_served.set(false);
         endpoint_reports::count_refusal(&self.context, reason);
         if let Some(observation) = endpoint_reports::of_refusal(&self.context, reason) {
-            self.tell(observation);
+            self.report(observation);
         }
     }
 
-    fn tell(&self, observation: peers::EndpointObservation) {
+    fn report(&self, observation: peers::EndpointObservation) {
         let grantor = match self.permit {
             None => endpoint_reports::SlotGrantor::Nobody,
             Some(HeldPermit::Here(_)) => endpoint_reports::SlotGrantor::Here,
@@ -92,7 +92,7 @@
     fn drop(&mut self) {
         self.context.loads.borrow_mut().end(&self.endpoint.id);
         if let Some(permit) = &self.permit {
-            end_permit(&self.context, permit, self.is_served.get());
+            release_permit(&self.context, permit, self.is_served.get());
         }
     }
 }
@@ -127,7 +127,7 @@
 
 /// Returns whether a service is full: every queried owner of its endpoints replied so.
 pub fn all_full(replies: &[SlotReply]) -> bool {
-    let is_full = |word: &SlotReply| matches!(word, SlotReply::Full(_));
+    let is_full = |reply: &SlotReply| matches!(reply, SlotReply::Full(_));
     replies.iter().any(is_full) && !replies.contains(&SlotReply::Silent)
 }
 
@@ -156,7 +156,7 @@
     match query_owners(context, request).await {
         OwnerReply::Slot(slot) => Ok(slot),
         OwnerReply::None(SlotReply::Full(_)) => Err(SlotUnavailable::Full),
-        OwnerReply::None(_) => go_ahead(context, request.service, request.tried),
+        OwnerReply::None(_) => choose_locally(context, request.service, request.tried),
     }
 }
 
@@ -170,11 +170,11 @@
     owners: &'a [ids::InstanceId],
 ) -> Result<HeldSlot, Vec<(SlotReply, &'a ids::InstanceId)>> {
     let mut replies = Vec::new();
-    for owner in owners.iter().take(OWNERS_ASKED) {
+    for owner in owners.iter().take(MAX_QUERIED_OWNERS) {
         let slot = online_slot_request(context, request);
         match send_request(context, owner, slot).await {
             OwnerReply::Slot(slot) => return Ok(slot),
-            OwnerReply::None(word) => replies.push((word, owner)),
+            OwnerReply::None(reply) => replies.push((reply, owner)),
         }
     }
     Err(replies)
@@ -184,12 +184,12 @@
 ///
 /// # Errors
 /// No endpoint is left.
-pub async fn any_slot(
+pub async fn acquire_or_go_ahead(
     context: &rc::Rc<context::ProcessContext>,
     request: &SlotParams<'_>,
 ) -> Result<HeldSlot, SlotUnavailable> {
     match acquire(context, request).await {
-        Err(SlotUnavailable::Full) => go_ahead(context, request.service, request.tried),
+        Err(SlotUnavailable::Full) => choose_locally(context, request.service, request.tried),
         slot => slot,
     }
 }
@@ -201,21 +201,21 @@
 ) -> OwnerReply {
     let service = request.service;
     let owners = owner_order(context, service);
-    let told = match request_slot(context, request, &owners).await {
+    let denials = match request_slot(context, request, &owners).await {
         Ok(slot) => return OwnerReply::Slot(slot),
-        Err(told) => told,
+        Err(denials) => denials,
     };
-    let replies: Vec<_> = told.iter().map(|(word, _)| *word).collect();
+    let replies: Vec<_> = denials.iter().map(|(reply, _)| *reply).collect();
     if !all_full(&replies) {
         return OwnerReply::None(SlotReply::Silent);
     }
-    let roomy = told.iter().filter_map(|(word, owner)| match word {
+    let with_queue = denials.iter().filter_map(|(reply, owner)| match reply {
         SlotReply::Full(free_queue_slots) if *free_queue_slots > 0 => {
             Some((free_queue_slots, owner))
         }
         _ => None,
     });
-    if let Some((_, owner)) = roomy.max() {
+    if let Some((_, owner)) = with_queue.max() {
         let queued = peers::OnlineSlotRequest {
             may_queue: true,
             ..online_slot_request(context, request)
@@ -236,7 +236,7 @@
 ///
 /// # Errors
 /// No endpoint is left.
-pub fn go_ahead(
+pub fn choose_locally(
     context: &rc::Rc<context::ProcessContext>,
     service: &ids::ServiceName,
     tried: &[ids::EndpointId],
@@ -254,7 +254,7 @@
         endpoint,
         permit: None,
         is_served: cell::Cell::new(false),
-        taken: context.clock.now(),
+        acquired_at: context.clock.now(),
     })
 }
 
@@ -265,21 +265,21 @@
 ) -> Vec<ids::InstanceId> {
     let free_slots = context.free_slots.borrow();
     let owners = context.owners();
-    let is_heard = |id: &ids::InstanceId| id == context.id() || context.receives_from(id);
+    let is_reachable = |id: &ids::InstanceId| id == context.id() || context.receives_from(id);
     // A service with few endpoints has few owners; the others need not be queried.
     let owns = |id: &ids::InstanceId| free_slots.contains_key(&(id.clone(), service.clone()));
-    let is_told = owners.iter().any(|owner| owns(&owner.id));
-    let asked = owners.iter().filter(|owner| is_heard(&owner.id));
-    let asked = asked.filter(|o| !is_told || o.id == *context.id() || owns(&o.id));
-    let known = asked.map(|owner| {
+    let are_owners_known = owners.iter().any(|owner| owns(&owner.id));
+    let queried = owners.iter().filter(|owner| is_reachable(&owner.id));
+    let queried = queried.filter(|o| !are_owners_known || o.id == *context.id() || owns(&o.id));
+    let capacities = queried.map(|owner| {
         let key = (owner.id.clone(), service.clone());
         owner_order::OwnerCapacity {
             id: owner.id.clone(),
-            free_slots: free_slots.get(&key).copied().unwrap_or(UNKNOWN_ROOM),
+            free_slots: free_slots.get(&key).copied().unwrap_or(ASSUMED_FREE_SLOTS),
             is_same_domain: owner.domain == *context.domain(),
         }
     });
-    owner_order::draw_order(known.collect(), &mut rand::rng())
+    owner_order::draw_order(capacities.collect(), &mut rand::rng())
 }
 
 fn online_slot_request(
@@ -297,15 +297,15 @@
     let loads = context.loads.borrow();
     // An endpoint that fails for this process may serve others, so it is excluded from
     // this request only.
-    let shunned = loads.shunned(count, is_listed, context.clock.now());
-    let mut unwanted = tried.to_vec();
-    unwanted.extend(shunned.into_iter().filter(|id| !tried.contains(id)));
+    let ejected = loads.ejected(count, is_listed, context.clock.now());
+    let mut excluded = tried.to_vec();
+    excluded.extend(ejected.into_iter().filter(|id| !tried.contains(id)));
     peers::OnlineSlotRequest {
         number: rand::random(),
         holder: context.run.clone(),
         domain: context.domain().clone(),
         service: service.clone(),
-        tried: unwanted,
+        tried: excluded,
         may_queue: false,
         wait: first.unwrap_or_default().wait(request.objective),
     }
@@ -331,10 +331,10 @@
         .acquire(relay.address, request, OWNER_TIMEOUT * 2)
         .await
     {
-        Ok(response) => take_answer(context, &relay.id, response, permit),
+        Ok(response) => accept_response(context, &relay.id, response, permit),
         Err(e) => {
             log::info!("event=relay_silent relay={} why=\"{e}\"", relay.id);
-            end_permit(context, &permit, false);
+            release_permit(context, &permit, false);
             None
         }
     }
@@ -349,7 +349,7 @@
     request.holder = context.run.clone();
     let number = request.number;
     let owners = owner_order(context, &request.service);
-    for owner in owners.iter().take(OWNERS_ASKED) {
+    for owner in owners.iter().take(MAX_QUERIED_OWNERS) {
         let address = context.members.borrow().address_of(owner);
         let Some(address) = address else { continue };
         let response = context
@@ -359,16 +359,16 @@
         match response {
             Ok(response) if response.endpoint.is_some() => {
                 let permit = HeldPermit::Peer(address, number);
-                if context.permits.borrow_mut().take_returned(number) {
+                if context.permits.borrow_mut().take_early_release(number) {
                     // The peer stopped waiting before the owner responded.
-                    end_permit(context, &permit, false);
+                    release_permit(context, &permit, false);
                     return None;
                 }
                 context.relayed.borrow_mut().put(number, address);
                 return Some(response);
             }
             Ok(_) => {}
-            Err(_) => end_permit(context, &HeldPermit::Peer(address, number), false),
+            Err(_) => release_permit(context, &HeldPermit::Peer(address, number), false),
         }
     }
     None
@@ -396,7 +396,7 @@
                 count_permit(context, "silent");
                 set_free_slots(context, owner, service, 0);
                 // The owner may still grant the slot, which would be held until it expires.
-                end_permit(context, &HeldPermit::Peer(address, number), false);
+                release_permit(context, &HeldPermit::Peer(address, number), false);
                 log::info!("event=owner_silent owner={owner} why=\"{e}\"");
                 return OwnerReply::None(SlotReply::Silent);
             }
@@ -413,7 +413,7 @@
         count_permit(context, "full");
         return OwnerReply::None(SlotReply::Full(response.free_queue_slots));
     }
-    match take_answer(context, owner, response, permit) {
+    match accept_response(context, owner, response, permit) {
         Some(slot) => OwnerReply::Slot(slot),
         None => OwnerReply::None(SlotReply::Silent),
     }
@@ -436,7 +436,7 @@
 /// Returns the slot granted by a response, if its endpoint is listed here.
 ///
 /// Otherwise the permit is released.
-fn take_answer(
+fn accept_response(
     context: &rc::Rc<context::ProcessContext>,
     from: &ids::InstanceId,
     response: peers::OnlineSlotResponse,
@@ -448,7 +448,7 @@
         log::info!(
             "event=place_refused endpoint={id} from={from} why=\"the endpoint is not listed here\""
         );
-        end_permit(context, &permit, false);
+        release_permit(context, &permit, false);
         return None;
     };
     count_permit(context, "granted");
@@ -458,12 +458,12 @@
         endpoint,
         permit: Some(permit),
         is_served: cell::Cell::new(false),
-        taken: context.clock.now(),
+        acquired_at: context.clock.now(),
     })
 }
 
 /// Releases a permit at the process that granted it.
-fn end_permit(context: &context::ProcessContext, permit: &HeldPermit, is_served: bool) {
+fn release_permit(context: &context::ProcessContext, permit: &HeldPermit, is_served: bool) {
     let release = |number| peers::SlotRelease { number, is_served };
     match *permit {
         HeldPermit::Here(number) => peer_calls::release(context, release(number)),
--- a/src/serving/slow_attempt.rs
+++ b/src/serving/slow_attempt.rs
@@ -11,7 +11,7 @@
 
 use futures::future::{self, FutureExt as _};
 
-use super::{attempt, attempt_flow, connection, context, directory, relay, search_pace, slots};
+use super::{attempt, attempt_flow, connection, context, directory, relay, search_backoff, slots};
 use crate::{clock, ids, outcome};
 
 /// Share of the latency objective after which an attempt without a response is slow.
@@ -23,23 +23,23 @@
 /// Prevents that a run is aborted for an endpoint that refuses. A refusal takes a round
 /// trip of 1 to 4 ms, and longer on busy processors. Two runs of one request may overlap
 /// for less than 400 ms; this is a quarter of it.
-const HANDOVER_TIME: time::Duration = time::Duration::from_millis(100);
+const HANDOFF_TIMEOUT: time::Duration = time::Duration::from_millis(100);
 
 /// Multiple of the time to a slow head after which a slot in a queue elsewhere qualifies.
 ///
 /// Without a head, no visible progress is lost by a move, and the pooled connection may be
 /// dead.
-const QUEUE_WAITS: u32 = 2;
+const QUEUE_WAIT_FACTOR: u32 = 2;
 /// Minimum interval between two test connections to the host of a slow endpoint.
 ///
 /// Each costs the endpoint about 1 ms, and a run may be slow at each event.
-const CHECK_PAUSE: time::Duration = time::Duration::from_secs(1);
+const CHECK_INTERVAL: time::Duration = time::Duration::from_secs(1);
 
 /// Grace time for the last bytes of a run after its endpoint is listed with a new start.
 ///
 /// The list is updated after the fastest link delivers these bytes. A stream whose events
 /// still arrive, at most 60 ms apart, must not be aborted by the update.
-const LAST_BYTES_TIME: time::Duration = time::Duration::from_millis(150);
+const LAST_BYTES_GRACE: time::Duration = time::Duration::from_millis(150);
 
 /// The part of a response that is awaited.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -55,10 +55,10 @@
 /// Result of a wait for an endpoint.
 pub(super) enum Waited<T> {
     /// The awaited part arrived, or the connection broke.
-    Came(T),
+    Done(T),
     /// Another endpoint has taken over and the slow one is to be abandoned; holds the time
     /// waited.
-    Moved(Box<attempt_flow::SentAttempt>, time::Duration),
+    HandedOff(Box<attempt_flow::SentAttempt>, time::Duration),
     /// The deadline passed, or the endpoint is gone; holds the time waited.
     Lost(time::Duration),
 }
@@ -70,21 +70,21 @@
             Awaited::NextEvent => (self.request.route.gap_objective?, GAP_SHARE),
             _ => (self.request.route.objective, SILENCE_SHARE),
         };
-        self.may_move(awaited).then(|| duration.mul_f64(share))
+        self.may_hand_off(awaited).then(|| duration.mul_f64(share))
     }
 
     /// Returns whether another attempt may run in addition to those so far.
-    fn may_move(&self, awaited: Awaited) -> bool {
+    fn may_hand_off(&self, awaited: Awaited) -> bool {
         // An attempt is counted in `ran` only once its head has arrived.
-        let least = match awaited {
+        let needed = match awaited {
             Awaited::Head => 2,
             Awaited::FirstEvent | Awaited::NextEvent => 1,
         };
-        self.attempts_left() >= least && !self.is_blamed()
+        self.attempts_left() >= needed && !self.is_blamed()
     }
 
     /// Waits for an endpoint until the deadline, or until another endpoint takes over.
-    pub(super) async fn wait_or_move<T>(
+    pub(super) async fn wait_or_hand_off<T>(
         &mut self,
         slot: &slots::HeldSlot,
         awaited: Awaited,
@@ -93,49 +93,50 @@
         let begun = clock::BootInstant::now();
         tokio::pin!(waiting);
         let Some(slow_after) = self.slow_after(awaited) else {
-            return self.wait_alone(slot, awaited, waiting).await;
+            return self.wait_without_handoff(slot, awaited, waiting).await;
         };
-        let slow_after = slow_after.min(self.left());
+        let slow_after = slow_after.min(self.time_left());
         if let Ok(done) = tokio::time::timeout(slow_after, &mut waiting).await {
-            return Waited::Came(done);
+            return Waited::Done(done);
         }
         self.record_slow(slot, awaited, slow_after);
         let mut search = SlowSearch::new(slot, &self.log);
         if awaited == Awaited::Head {
-            search.queue_from = Some(begun + slow_after * QUEUE_WAITS);
-            search.may_be_silent = self.log.is_kept.get();
+            search.queue_from = Some(begun + slow_after * QUEUE_WAIT_FACTOR);
+            search.may_be_dead = self.log.is_reused.get();
         }
-        let gone = machine_gone(slot.endpoint.clone(), self.left(), self.begin_check());
-        let ended = run_ended(self.context.clone(), slot.endpoint.clone());
-        tokio::pin!(gone, ended);
-        while self.may_move(awaited) {
+        let unreachable =
+            host_unreachable(slot.endpoint.clone(), self.time_left(), self.start_check());
+        let restarted = endpoint_restarted(self.context.clone(), slot.endpoint.clone());
+        tokio::pin!(unreachable, restarted);
+        while self.may_hand_off(awaited) {
             tokio::select! {
                 biased;
-                done = &mut waiting => return Waited::Came(done),
-                () = self.time_over() => return Waited::Lost(begun.elapsed()),
-                () = &mut gone => return Waited::Lost(begun.elapsed()),
-                () = &mut ended => return Waited::Lost(begun.elapsed()),
+                done = &mut waiting => return Waited::Done(done),
+                () = self.wait_for_deadline() => return Waited::Lost(begun.elapsed()),
+                () = &mut unreachable => return Waited::Lost(begun.elapsed()),
+                () = &mut restarted => return Waited::Lost(begun.elapsed()),
                 found = search.next_slot(self) => {
-                    search.passed_over.push(found.slot.endpoint.id.clone());
-                    if let Some(sent) = self.hand_over(found).await {
-                        return Waited::Moved(Box::new(sent), begun.elapsed());
+                    search.excluded.push(found.slot.endpoint.id.clone());
+                    if let Some(sent) = self.hand_off(found).await {
+                        return Waited::HandedOff(Box::new(sent), begun.elapsed());
                     }
                 }
             }
         }
         tokio::select! {
             biased;
-            done = waiting => Waited::Came(done),
-            () = self.time_over() => Waited::Lost(begun.elapsed()),
+            done = waiting => Waited::Done(done),
+            () = self.wait_for_deadline() => Waited::Lost(begun.elapsed()),
         }
     }
 
     /// Returns whether a test connection to the host of a slow endpoint is due, and records
     /// it.
-    fn begin_check(&self) -> bool {
+    fn start_check(&self) -> bool {
         let now = clock::BootInstant::now();
         let checked_at = self.log.checked_at.get();
-        let is_due = checked_at.is_none_or(|at| now.duration_since(at) >= CHECK_PAUSE);
+        let is_due = checked_at.is_none_or(|at| now.duration_since(at) >= CHECK_INTERVAL);
         if is_due {
             self.log.checked_at.set(Some(now));
         }
@@ -143,7 +144,7 @@
     }
 
     /// Waits for an endpoint whose request no other may take over.
-    async fn wait_alone<T>(
+    async fn wait_without_handoff<T>(
         &self,
         slot: &slots::HeldSlot,
         awaited: Awaited,
@@ -153,14 +154,14 @@
         let waiting = async {
             match awaited {
                 Awaited::NextEvent => waiting.await,
-                _ => self.suspecting(slot, waiting).await,
+                _ => self.report_if_slow(slot, waiting).await,
             }
         };
         tokio::select! {
             biased;
-            done = waiting => Waited::Came(done),
-            () = self.time_over() => Waited::Lost(begun.elapsed()),
-            () = run_ended(self.context.clone(), slot.endpoint.clone()) => {
+            done = waiting => Waited::Done(done),
+            () = self.wait_for_deadline() => Waited::Lost(begun.elapsed()),
+            () = endpoint_restarted(self.context.clone(), slot.endpoint.clone()) => {
                 Waited::Lost(begun.elapsed())
             }
         }
@@ -170,7 +171,7 @@
     ///
     /// Without this check, a run that is late with each event would be reported each time.
     fn record_slow(&self, slot: &slots::HeldSlot, awaited: Awaited, waited: time::Duration) {
-        if self.log.slow_pace.get().is_some() {
+        if self.log.slow_backoff.get().is_some() {
             return;
         }
         log::info!(
@@ -178,11 +179,11 @@
             self.request.terms.id.as_deref().unwrap_or("-"),
             slot.endpoint.id,
             waited.as_millis(),
-            self.left().as_millis(),
+            self.time_left().as_millis(),
         );
         if awaited == Awaited::Head {
             // The pooled connection may be dead, and others to the same address with it.
-            self.context.pool.forget(slot.endpoint.address);
+            self.context.pool.close_idle(slot.endpoint.address);
         }
         slot.record_failed(awaited == Awaited::NextEvent);
     }
@@ -191,49 +192,49 @@
     ///
     /// The slow run is not read meanwhile: its events are still used if the handoff fails,
     /// and no event is sent twice if it succeeds.
-    async fn hand_over(&mut self, found: FoundSlot) -> Option<attempt_flow::SentAttempt> {
+    async fn hand_off(&mut self, found: FoundSlot) -> Option<attempt_flow::SentAttempt> {
         let opened = match found.connection {
             Ok(opened) => opened,
             Err(proof) => {
-                let told = outcome::AttemptOutcome::NotRun(proof);
-                self.record_not_moved(found.slot, told);
+                let outcome = outcome::AttemptOutcome::NotRun(proof);
+                self.record_failed_handoff(found.slot, outcome);
                 return None;
             }
         };
         let id = found.slot.endpoint.id.clone();
         let mut sent = self.start(found.slot, Some(opened));
-        let timeout = HANDOVER_TIME.min(self.left());
-        let told = tokio::time::timeout(timeout, &mut sent.sending).await;
-        match told {
-            Ok(outcome) if !self.goes_on(&outcome) => {
-                self.record_not_moved(sent.slot, outcome);
+        let timeout = HANDOFF_TIMEOUT.min(self.time_left());
+        let result = tokio::time::timeout(timeout, &mut sent.sending).await;
+        match result {
+            Ok(outcome) if !self.is_accepted(&outcome) => {
+                self.record_failed_handoff(sent.slot, outcome);
                 return None;
             }
             Ok(outcome) => sent.sending = future::ready(outcome).boxed_local(),
             Err(_) => {}
         }
-        self.log.begin(&id);
+        self.log.record_start(&id);
         Some(sent)
     }
 
     /// Returns whether an endpoint accepted the request that is handed off to it.
-    fn goes_on(&self, told: &outcome::AttemptOutcome<attempt::OpenResponse>) -> bool {
-        let outcome::AttemptOutcome::Completed(open) = told else {
+    fn is_accepted(&self, outcome: &outcome::AttemptOutcome<attempt::OpenResponse>) -> bool {
+        let outcome::AttemptOutcome::Completed(open) = outcome else {
             return false;
         };
         let status = open.incoming.head.status;
-        status.is_success() || (!self.started && !attempt::is_failure(status))
+        status.is_success() || (!self.is_started && !attempt::is_failure(status))
     }
 
     /// Records an attempt that did not take over, as any other failed one.
-    fn record_not_moved(
+    fn record_failed_handoff(
         &mut self,
         slot: slots::HeldSlot,
-        told: outcome::AttemptOutcome<attempt::OpenResponse>,
+        outcome: outcome::AttemptOutcome<attempt::OpenResponse>,
     ) {
-        if let Ok(answered) = self.classify(slot, told) {
-            let status = answered.open.incoming.head.status;
-            self.record_attempt(&answered.slot.endpoint.id, "failed", status.as_str());
+        if let Ok(responding) = self.classify(slot, outcome) {
+            let status = responding.open.incoming.head.status;
+            self.record_attempt(&responding.slot.endpoint.id, "failed", status.as_str());
         }
     }
 }
@@ -251,33 +252,33 @@
 struct SlowSearch {
     slow: ids::EndpointId,
     /// Endpoints excluded in this round.
-    passed_over: Vec<ids::EndpointId>,
+    excluded: Vec<ids::EndpointId>,
     /// Time from which a slot in a queue qualifies; `None` for never.
     queue_from: Option<clock::BootInstant>,
     /// Whether the slow run uses a pooled connection, which may be dead.
-    may_be_silent: bool,
+    may_be_dead: bool,
 }
 
 impl SlowSearch {
     fn new(slot: &slots::HeldSlot, log: &attempt_flow::AttemptLog) -> Self {
         Self {
             slow: slot.endpoint.id.clone(),
-            passed_over: log.tried.clone(),
+            excluded: log.tried.clone(),
             queue_from: None,
-            may_be_silent: false,
+            may_be_dead: false,
         }
     }
 
     /// Waits for the next slot.
     async fn next_slot(&mut self, relay: &relay::RequestRelay) -> FoundSlot {
         loop {
-            Self::delay(relay).await;
-            let Some(slot) = self.send_request(relay).await else {
+            Self::back_off(relay).await;
+            let Some(slot) = self.acquire_slot(relay).await else {
                 // Endpoints that refused or failed may accept the request in the next round.
-                self.passed_over = vec![self.slow.clone()];
+                self.excluded = vec![self.slow.clone()];
                 continue;
             };
-            let connection = attempt::connect(&slot.endpoint, relay.left()).await;
+            let connection = attempt::connect(&slot.endpoint, relay.time_left()).await;
             return FoundSlot { slot, connection };
         }
     }
@@ -286,16 +287,16 @@
     ///
     /// The backoff is kept between events, so that a run that is slow at each event does not
     /// request slots more often.
-    async fn delay(relay: &relay::RequestRelay) {
-        let Some(mut pace) = relay.log.slow_pace.get() else {
+    async fn back_off(relay: &relay::RequestRelay) {
+        let Some(mut backoff) = relay.log.slow_backoff.get() else {
             relay
                 .log
-                .slow_pace
-                .set(Some(search_pace::SearchPace::default()));
+                .slow_backoff
+                .set(Some(search_backoff::SearchBackoff::default()));
             return;
         };
-        let delay = pace.next_delay().min(relay.left());
-        relay.log.slow_pace.set(Some(pace));
+        let delay = backoff.next_delay().min(relay.time_left());
+        relay.log.slow_backoff.set(Some(backoff));
         tokio::time::sleep(delay).await;
     }
 
@@ -303,34 +304,34 @@
     ///
     /// The request is a task of its own, so that a late response is still received and its
     /// slot released.
-    async fn send_request(&self, relay: &relay::RequestRelay) -> Option<slots::HeldSlot> {
+    async fn acquire_slot(&self, relay: &relay::RequestRelay) -> Option<slots::HeldSlot> {
         let service = relay.choose_service()?;
         let may_queue = self
             .queue_from
             .is_some_and(|at| at <= clock::BootInstant::now());
-        let mut tried = self.passed_over.clone();
+        let mut tried = self.excluded.clone();
         if !self.has_others(relay, &service) {
             // A new connection to the same endpoint qualifies if the pooled one may be
             // dead: otherwise the caller would wait in vain until its deadline.
-            if !may_queue || !self.may_be_silent {
+            if !may_queue || !self.may_be_dead {
                 return None;
             }
             tried.clear();
         }
         let context = rc::Rc::clone(&relay.context);
         let objective = relay.request.route.objective;
-        let asking = actix_rt::spawn(async move {
+        let acquiring = actix_rt::spawn(async move {
             let request = slots::SlotParams {
                 service: &service,
                 tried: &tried,
                 objective,
             };
             match may_queue {
-                true => slots::any_slot(&context, &request).await,
+                true => slots::acquire_or_go_ahead(&context, &request).await,
                 false => free_slot(&context, &request).await,
             }
         });
-        match asking.await {
+        match acquiring.await {
             Ok(slot) => slot.ok(),
             Err(e) => {
                 log::warn!("event=place_unasked why=\"{e}\"");
@@ -343,14 +344,14 @@
     fn has_others(&self, relay: &relay::RequestRelay, service: &ids::ServiceName) -> bool {
         let directory = relay.context.fleet.directory.borrow();
         let listed = directory.of_service(service);
-        listed.iter().any(|e| !self.passed_over.contains(&e.id))
+        listed.iter().any(|e| !self.excluded.contains(&e.id))
     }
 }
 
 /// Resolves if the host of a slow endpoint accepts no connection.
 ///
 /// The endpoint will then not respond any more, and even a queue elsewhere is better.
-async fn machine_gone(
+async fn host_unreachable(
     endpoint: rc::Rc<directory::EndpointEntry>,
     left: time::Duration,
     is_due: bool,
@@ -369,14 +370,14 @@
 
 /// Resolves after the endpoint is listed with a new start.
 ///
-/// The run that has the request has ended then; `LAST_BYTES_TIME` is left for bytes that
+/// The run that has the request has ended then; `LAST_BYTES_GRACE` is left for bytes that
 /// are still in transit.
-async fn run_ended(
+async fn endpoint_restarted(
     context: rc::Rc<context::ProcessContext>,
     endpoint: rc::Rc<directory::EndpointEntry>,
 ) {
     context.fleet.other_start(&endpoint).await;
-    tokio::time::sleep(LAST_BYTES_TIME).await;
+    tokio::time::sleep(LAST_BYTES_GRACE).await;
     log::info!(
         "event=run_ended endpoint={} why=\"the endpoint restarted\"",
         endpoint.id
@@ -396,12 +397,12 @@
 ) -> Result<slots::HeldSlot, slots::SlotUnavailable> {
     let owners = slots::owner_order(context, request.service);
     if !owners.is_empty() {
-        let asked = slots::request_slot(context, request, &owners).await;
-        return asked.map_err(|_| slots::SlotUnavailable::Full);
+        let result = slots::request_slot(context, request, &owners).await;
+        return result.map_err(|_| slots::SlotUnavailable::Full);
     }
     if !context.relays().is_empty() {
-        let asked = slots::request_from_relay(context, request, false).await;
-        return asked.ok_or(slots::SlotUnavailable::Full);
+        let result = slots::request_from_relay(context, request, false).await;
+        return result.ok_or(slots::SlotUnavailable::Full);
     }
-    slots::go_ahead(context, request.service, request.tried)
+    slots::choose_locally(context, request.service, request.tried)
 }
--- a/tests/endpoint_runs.rs
+++ b/tests/endpoint_runs.rs
@@ -179,8 +179,8 @@
     assert!(marks.expire(at(now + 10_000)), "it is new again");
 }
 
-fn board(endpoints: &[EndpointEntry]) -> permits::PermitBoard {
-    let mut board = permits::PermitBoard::default();
+fn board(endpoints: &[EndpointEntry]) -> permits::PermitTable {
+    let mut board = permits::PermitTable::default();
     let owned: Vec<_> = endpoints.iter().cloned().map(rc::Rc::new).collect();
     board.set_owned(&owned);
     board
@@ -205,7 +205,7 @@
 fn an_endpoint_that_refuses_gives_no_places_until_it_served_or_a_while_has_passed() {
     let none = std::collections::HashSet::new();
     let mut board = board(&[entry("a", 1, None)]);
-    let granted = |board: &mut permits::PermitBoard, number, now| {
+    let granted = |board: &mut permits::PermitTable, number, now| {
         board.acquire(&request(number), &none, now).is_some()
     };
     assert!(granted(&mut board, 1, at(0)));
@@ -243,7 +243,7 @@
     doubtful.sort();
     assert_eq!(doubtful, ["a", "b"]);
     let mut board = board(&[entry("a", 1, None), entry("b", 1, None)]);
-    board.set_doubtful(directory.doubtful().clone());
+    board.set_unverified(directory.doubtful().clone());
     for number in 0..2 {
         assert!(board.acquire(&request(number), &none, at(0)).is_some());
     }
@@ -251,7 +251,7 @@
     assert!(board.begin_batch(&service(), &none, at(0)).is_none());
     assert!(directory.record_named(&id("b")));
     assert!(directory.record_misnamed(&id("a"), None, at(0)));
-    board.set_doubtful(directory.doubtful().clone());
+    board.set_unverified(directory.doubtful().clone());
     assert!(board.acquire(&request(3), &none, at(0)).is_some());
     assert!(directory.retry_misnamed(at(1000)));
     assert!(
--- a/tests/serving_views.rs
+++ b/tests/serving_views.rs
@@ -349,7 +349,7 @@
                 events.push(event);
             }
         }
-        assert!(!splitter.has_rest());
+        assert!(!splitter.has_partial_event());
         let ids: Vec<_> = events.iter().map(|e| e.id).collect();
         assert_eq!(ids, [1, 2]);
         assert_eq!(events[0].data(), "a\nb");
@@ -360,20 +360,20 @@
 
 #[test]
 fn one_silence_ejects_no_endpoint_and_most_are_never_left_out() {
-    let mut loads = selection::LoadBoard::default();
+    let mut loads = selection::LoadTable::default();
     let entries: Vec<_> = (0..5)
         .map(|n| rc::Rc::new(entry(&format!("e{n}"), "z")))
         .collect();
     let now = clock::MonotonicTime(1);
     loads.health.record_failure(&entries[0].id, now);
-    assert!(loads.shunned(entries.len(), |_| true, now).is_empty());
+    assert!(loads.ejected(entries.len(), |_| true, now).is_empty());
     for entry in &entries[..2] {
         loads.health.record_silence(&entry.id, now);
     }
-    assert_eq!(loads.shunned(entries.len(), |_| true, now).len(), 2);
+    assert_eq!(loads.ejected(entries.len(), |_| true, now).len(), 2);
     loads.health.record_silence(&entries[2].id, now);
     assert!(
-        loads.shunned(entries.len(), |_| true, now).is_empty(),
+        loads.ejected(entries.len(), |_| true, now).is_empty(),
         "too many: the fault is elsewhere"
     );
 }
--- a/tests/slots.rs
+++ b/tests/slots.rs
@@ -45,8 +45,8 @@
     }
 }
 
-fn board(endpoints: &[directory::EndpointEntry]) -> permits::PermitBoard {
-    let mut board = permits::PermitBoard::default();
+fn board(endpoints: &[directory::EndpointEntry]) -> permits::PermitTable {
+    let mut board = permits::PermitTable::default();
     let owned: Vec<_> = endpoints.iter().cloned().map(rc::Rc::new).collect();
     board.set_owned(&owned);
     board
