--- a/tests/mutations.sh
+++ b/tests/mutations.sh
@@ -20,10 +20,10 @@
 cut              truncated_answers  only_whole_answers_complete
 push             bundles            an_accepted_bundle_survives_an_outage_and_restarts
 bundle_condition bundles            racing_operators_make_one_history
-fresh_connection endpoint_faults    a_request_that_may_run_once_is_not_lost_on_a_connection_that_just_closed
-crossed_answer   endpoint_faults    an_answer_of_another_request_is_never_given
-caller_close     endpoint_faults    a_caller_who_leaves_before_the_first_event_ends_the_work
-leaving_endpoint endpoint_faults    an_endpoint_that_leaves_gets_nothing_new::case_1_leaving
+fresh_connection endpoint_faults    a_request_that_may_run_once_is_not_lost_on_a_closing_connection
+crossed_answer   endpoint_faults    a_response_to_another_request_is_never_relayed
+caller_close     endpoint_faults    a_caller_that_disconnects_before_the_first_event_ends_the_run
+leaving_endpoint endpoint_faults    a_draining_endpoint_gets_no_new_requests::case_1_draining
 state_up         system_faults      the_desired_state_only_goes_up_and_a_missed_one_is_found
 drain            system_faults      a_stop_turns_unready_at_once_and_cuts_nothing
 api_key          workspaces         only_requests_with_a_key_are_served::case_2_unknown
