--- a/src/serving/attempt.rs
+++ b/src/serving/attempt.rs
@@ -152,6 +152,7 @@
     directory.usable(&endpoint.id).is_some()
 }
 
+/// Builds the request that is sent for one attempt.
 fn outgoing(
     context: &rc::Rc<context::ProcessContext>,
     request: &ForwardedRequest,
@@ -168,6 +169,7 @@
     }
 }
 
+/// Determines the outcome of an attempt from the head of its response.
 fn classify(
     context: &rc::Rc<context::ProcessContext>,
     endpoint: &directory::EndpointEntry,
--- a/src/serving/attempt_flow.rs
+++ b/src/serving/attempt_flow.rs
@@ -83,9 +83,9 @@
         }
         let mut point = rand::random_range(0..total);
         let chosen = targets.iter().find(|t| {
-            let inside = point < t.weight;
+            let is_inside = point < t.weight;
             point = point.saturating_sub(t.weight);
-            inside
+            is_inside
         });
         chosen.map(|t| t.service.clone())
     }
@@ -164,8 +164,8 @@
         &self,
     ) -> Result<Result<slots::HeldSlot, slots::SlotUnavailable>, relay::FinalError> {
         let service = self.choose_service();
-        let none = || relay::FinalError::Failed("the route has no service".into());
-        let service = service.ok_or_else(none)?;
+        let no_service = || relay::FinalError::Failed("the route has no service".into());
+        let service = service.ok_or_else(no_service)?;
         let tried = &self.log.tried;
         let request = slots::SlotParams {
             service: &service,
@@ -174,7 +174,7 @@
         };
         // A request that has run may exceed the capacity at which new ones are refused.
         Ok(match self.log.ran > 0 {
-            true => slots::acquire_or_go_ahead(&self.context, &request).await,
+            true => slots::acquire_or_choose_locally(&self.context, &request).await,
             false => slots::acquire(&self.context, &request).await,
         })
     }
--- a/src/serving/connection.rs
+++ b/src/serving/connection.rs
@@ -173,6 +173,7 @@
     }
 }
 
+/// Determines how the body after a head is delimited.
 fn framing_of(head: &actix_http::ResponseHead, codec: h1::ClientCodec) -> BodyFraming {
     use actix_http::header;
 
--- a/src/serving/event_flow.rs
+++ b/src/serving/event_flow.rs
@@ -49,7 +49,7 @@
             let waiting = next_event(&mut open.incoming, &mut splitter);
             let awaited = slow_attempt::Awaited::FirstEvent;
             let first = match self.wait_or_hand_off(slot, awaited, waiting).await {
-                Waited::Done(end) => self.check_order(end),
+                Waited::Done(result) => self.check_order(result),
                 Waited::Lost(waited) => EventResult::Truncated(no_event(waited)),
                 Waited::HandedOff(next, waited) => {
                     self.record_attempt(&slot.endpoint.id, "cut", &no_event(waited));
@@ -102,9 +102,9 @@
     /// Checks that an event follows the last one, and records it.
     ///
     /// Any other event is treated as a truncated stream.
-    fn check_order(&mut self, end: EventResult) -> EventResult {
-        let EventResult::Event(event) = end else {
-            return end;
+    fn check_order(&mut self, result: EventResult) -> EventResult {
+        let EventResult::Event(event) = result else {
+            return result;
         };
         let expected = self.last_event.map(|last| last + 1);
         match expected {
@@ -118,6 +118,7 @@
         }
     }
 
+    /// Builds the response that sends the events of a stream to the caller.
     pub(super) fn into_stream(
         mut self,
         head: actix_http::ResponseHead,
@@ -177,7 +178,7 @@
             let waiting = next_event(&mut response.incoming, &mut open.splitter);
             let awaited = slow_attempt::Awaited::NextEvent;
             let next = match self.relay.wait_or_hand_off(slot, awaited, waiting).await {
-                Waited::Done(end) => self.relay.check_order(end),
+                Waited::Done(result) => self.relay.check_order(result),
                 Waited::Lost(waited) => EventResult::Truncated(no_event(waited)),
                 Waited::HandedOff(next, waited) => {
                     let reason = no_event(waited);
--- a/src/serving/permits.rs
+++ b/src/serving/permits.rs
@@ -12,7 +12,7 @@
 
 /// TTL of a permit that is not released; longer than the longest request timeout.
 pub(super) const PERMIT_TTL: time::Duration = time::Duration::from_secs(15);
-/// Number of remembered releases that arrived before the request that they belong to.
+/// Maximum number of remembered releases that arrived before their request.
 ///
 /// Covers an owner that was suspended for a second at some hundred requests a second.
 const MAX_EARLY_RELEASES: num::NonZeroUsize = num::NonZeroUsize::new(1024).expect("it is not zero");
@@ -119,6 +119,7 @@
     unverified: collections::HashSet<ids::EndpointId>,
 }
 
+/// An owned endpoint and the ledger of its slots.
 #[derive(Debug)]
 struct OwnedLedger {
     entry: rc::Rc<directory::EndpointEntry>,
@@ -140,16 +141,18 @@
         self.entry.slots.saturating_sub(self.ledger.online())
     }
 
-    /// Returns the number of free slots in the endpoint's queue if it has `queue` slots.
+    /// Returns how many more requests may queue at the endpoint if `queue` may in total.
     fn free_queue_slots(&self, queue: u32) -> u32 {
-        let most = self.entry.slots + queue;
-        most.saturating_sub(self.ledger.online().max(self.entry.slots))
+        let limit = self.entry.slots + queue;
+        limit.saturating_sub(self.ledger.online().max(self.entry.slots))
     }
 
+    /// Returns whether any slot is held.
     fn is_held(&self) -> bool {
         self.ledger.online() + self.ledger.batch() > 0
     }
 
+    /// Returns the number of unused slots; negative while requests queue.
     fn spare_slots(&self) -> i64 {
         let held = self.ledger.online() + self.ledger.batch();
         i64::from(self.entry.slots) - i64::from(held)
@@ -240,14 +243,14 @@
             .of_service(&request.service)
             .filter(|owned| !request.tried.contains(&owned.entry.id));
         let best = usable.min_by_key(|owned| {
-            let full = owned.spare_slots() <= 0;
-            let load = match full {
+            let is_full = owned.spare_slots() <= 0;
+            let load = match is_full {
                 true => owned.ledger.online(),
                 false => owned.ledger.online() + owned.ledger.batch(),
             };
             (
                 ejected.contains(&owned.entry.id),
-                full,
+                is_full,
                 load,
                 owned.entry.domain != request.domain,
                 owned.entry.id.clone(),
--- a/src/serving/request_admission.rs
+++ b/src/serving/request_admission.rs
@@ -1,4 +1,5 @@
-//! Admits a caller's request: identifies its workspace and applies that one's rate limit.
+//! Admits a caller's request: identifies its workspace and applies the workspace's
+//! rate limit.
 
 use std::{rc, sync, time};
 
@@ -82,6 +83,7 @@
     }
 }
 
+/// Rejects a request without a valid key.
 fn unauthorized(
     context: &context::ProcessContext,
     table: &route_table::RouteTable,
@@ -99,6 +101,7 @@
         .map_into_boxed_body()
 }
 
+/// Rejects a request whose key may be newer than the keys known here.
 fn undecided(
     context: &context::ProcessContext,
     table: &route_table::RouteTable,
@@ -112,6 +115,7 @@
     )
 }
 
+/// Logs and counts a request that is rejected for its key.
 fn record_rejected(
     context: &context::ProcessContext,
     table: &route_table::RouteTable,
--- a/src/serving/slots.rs
+++ b/src/serving/slots.rs
@@ -117,7 +117,7 @@
 /// The reply of an owner that granted no slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SlotReply {
-    /// All slots are in use; holds the number of free slots in queues.
+    /// All slots are in use; holds how many more requests may queue.
     Full(u32),
     /// It owns no endpoint of the service.
     NotOwner,
@@ -184,7 +184,7 @@
 ///
 /// # Errors
 /// No endpoint is left.
-pub async fn acquire_or_go_ahead(
+pub async fn acquire_or_choose_locally(
     context: &rc::Rc<context::ProcessContext>,
     request: &SlotParams<'_>,
 ) -> Result<HeldSlot, SlotUnavailable> {
@@ -282,6 +282,7 @@
     owner_order::draw_order(capacities.collect(), &mut rand::rng())
 }
 
+/// Builds a request for a slot that excludes the endpoints ejected by this process.
 fn online_slot_request(
     context: &context::ProcessContext,
     request: &SlotParams<'_>,
@@ -374,6 +375,7 @@
     None
 }
 
+/// Requests a slot from one owner and records its free slots.
 async fn send_request(
     context: &rc::Rc<context::ProcessContext>,
     owner: &ids::InstanceId,
@@ -419,6 +421,7 @@
     }
 }
 
+/// Records the number of free slots that an owner has for a service.
 fn set_free_slots(
     context: &context::ProcessContext,
     owner: &ids::InstanceId,
--- a/src/serving/slow_attempt.rs
+++ b/src/serving/slow_attempt.rs
@@ -20,14 +20,14 @@
 const GAP_SHARE: f64 = 0.5;
 /// How long a slow run is kept, unread, until the next endpoint has accepted the request.
 ///
-/// Prevents that a run is aborted for an endpoint that refuses. A refusal takes a round
+/// Keeps a run from being aborted for an endpoint that refuses. A refusal takes a round
 /// trip of 1 to 4 ms, and longer on busy processors. Two runs of one request may overlap
 /// for less than 400 ms; this is a quarter of it.
 const HANDOFF_TIMEOUT: time::Duration = time::Duration::from_millis(100);
 
 /// Multiple of the time to a slow head after which a slot in a queue elsewhere qualifies.
 ///
-/// Without a head, no visible progress is lost by a move, and the pooled connection may be
+/// Without a head, no visible progress is lost by a handoff, and the pooled connection may be
 /// dead.
 const QUEUE_WAIT_FACTOR: u32 = 2;
 /// Minimum interval between two test connections to the host of a slow endpoint.
@@ -327,7 +327,7 @@
                 objective,
             };
             match may_queue {
-                true => slots::acquire_or_go_ahead(&context, &request).await,
+                true => slots::acquire_or_choose_locally(&context, &request).await,
                 false => free_slot(&context, &request).await,
             }
         });
@@ -353,11 +353,11 @@
 /// The endpoint will then not respond any more, and even a queue elsewhere is better.
 async fn host_unreachable(
     endpoint: rc::Rc<directory::EndpointEntry>,
-    left: time::Duration,
+    timeout: time::Duration,
     is_due: bool,
 ) {
     if is_due {
-        if let Err(proof) = attempt::connect(&endpoint, left).await {
+        if let Err(proof) = attempt::connect(&endpoint, timeout).await {
             log::info!(
                 "event=endpoint_gone endpoint={} why=\"{proof:?}\"",
                 endpoint.id
