--- a/src/serving/attempt.rs
+++ b/src/serving/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at one endpoint: connect, send, and classify what comes back.
+//! One attempt at one endpoint: connects, sends the request and classifies the response.
 
 use std::{cell, rc, time};
 
@@ -7,8 +7,10 @@
 use super::{connection, context, directory, wire};
 use crate::{ids, outcome, protection};
 
-/// Longest wait for a connection; a round trip takes 1 to 4 ms, a dropped
-/// opening packet is sent again only after a second.
+/// Timeout for opening a connection.
+///
+/// A round trip takes 1 to 4 ms. A lost SYN is retransmitted only after a second, so
+/// waiting longer gains nothing.
 const CONNECT_TIMEOUT: time::Duration = time::Duration::from_millis(150);
 
 /// The part of a request that is the same for all its attempts.
@@ -18,30 +20,30 @@
     pub method: Method,
     /// Path and query.
     pub uri: actix_http::Uri,
-    /// Headers as they go to an endpoint, without those of an attempt.
+    /// Headers for the endpoint, without those that differ between attempts.
     pub headers: wire::HeaderMap,
     /// Body.
     pub body: bytes::Bytes,
-    /// What it asks, the same for each try of it.
+    /// Digest of the content, the same for each attempt and each retry by the caller.
     pub digest: ids::RequestDigest,
-    /// Name that the endpoint echoes.
+    /// Request id, which the endpoint echoes in its response.
     pub id: Option<String>,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub repeatable: bool,
 }
 
-/// An answer whose head is there.
+/// A response whose head has been read and whose body is still open.
 pub struct OpenResponse {
-    /// The answer with its connection.
-    pub incoming: connection::IncomingAnswer,
-    /// What the head says.
-    pub notes: wire::ResponseMetadata,
+    /// The response and its connection.
+    pub incoming: connection::IncomingResponse,
+    /// Metadata from the head.
+    pub metadata: wire::ResponseMetadata,
 }
 
 /// Connects to an endpoint for one attempt.
 ///
 /// # Errors
-/// No connection is made in time: the attempt did not run.
+/// The connection failed or timed out, which proves that the attempt did not run.
 pub async fn connect(
     endpoint: &directory::EndpointEntry,
     timeout: time::Duration,
@@ -51,18 +53,18 @@
     opened.map_err(|e| outcome::NotRunProof::no_connection(&e))
 }
 
-/// Sends one attempt and waits for the head of its answer.
+/// Sends one attempt and waits for the head of its response.
 ///
-/// `opened` is a connection that was made for it, if there is one; `is_kept` is told
-/// whether it went out on one that was kept; `head_timeout` bounds the wait after
-/// the request went out.
+/// `opened` is a connection opened for this attempt, if there is one. `is_reused` is set
+/// to whether the request was sent on a pooled connection. `head_timeout` limits
+/// connecting, sending and the wait for the head.
 pub async fn send(
     context: &rc::Rc<context::ProcessContext>,
     endpoint: &directory::EndpointEntry,
     request: &ForwardedRequest,
     terms: &wire::AttemptTerms<'_>,
     opened: Option<connection::EndpointConnection>,
-    is_kept: &cell::Cell<bool>,
+    is_reused: &cell::Cell<bool>,
     head_timeout: time::Duration,
 ) -> outcome::AttemptOutcome<OpenResponse> {
     use outcome::AttemptOutcome as O;
@@ -70,43 +72,44 @@
     let exchange = async {
         match opened {
             Some(opened) => exchange_on(context, opened, request, terms).await,
-            None => exchange(context, endpoint, request, terms, is_kept, head_timeout).await,
+            None => exchange(context, endpoint, request, terms, is_reused, head_timeout).await,
         }
     };
     let incoming = match tokio::time::timeout(head_timeout, exchange).await {
         Ok(Ok(incoming)) => incoming,
-        Ok(Err(ended)) => return ended,
+        Ok(Err(outcome)) => return outcome,
         Err(_) => {
-            context.pool.forget(endpoint.address);
-            let why = format!("no answer within {} ms", head_timeout.as_millis());
-            return O::Unknown(why);
+            context.pool.close_idle(endpoint.address);
+            let reason = format!("no response within {} ms", head_timeout.as_millis());
+            return O::Unknown(reason);
         }
     };
     classify(context, endpoint, request, incoming)
 }
 
-/// Sends the request on a kept connection where it may be repeated, or on a new one.
+/// Sends a repeatable request on a pooled connection if there is one, any other on a
+/// new connection.
 ///
-/// A kept connection may close while a request is on its way; one that may
-/// not run twice would be lost with it. Others go out once more, unless the
-/// endpoint leaves by now: the first try may have waited there for long. Where no
-/// second connection can be made, the first try may still have run: the endpoint may
-/// have ended under it.
+/// The endpoint may close a pooled connection while a request is in transit, and a request
+/// that must not run twice would then be lost. A repeatable one is sent once more on a new
+/// connection, unless the endpoint has begun to drain: the first try may have waited
+/// there for long. If no second connection can be opened, the outcome is unknown: the
+/// first try may have run and the endpoint may have crashed during it.
 async fn exchange(
     context: &rc::Rc<context::ProcessContext>,
     endpoint: &directory::EndpointEntry,
     request: &ForwardedRequest,
     terms: &wire::AttemptTerms<'_>,
-    is_kept: &cell::Cell<bool>,
+    is_reused: &cell::Cell<bool>,
     timeout: time::Duration,
-) -> Result<connection::IncomingAnswer, outcome::AttemptOutcome<OpenResponse>> {
+) -> Result<connection::IncomingResponse, outcome::AttemptOutcome<OpenResponse>> {
     use outcome::AttemptOutcome as O;
 
-    let mut broken = None;
+    let mut first_error = None;
     if request.repeatable || protection::is_disabled("fresh_connection") {
-        if let Some(kept) = context.pool.take(endpoint.address) {
-            is_kept.set(true);
-            match kept.exchange(outgoing(context, request, terms)).await {
+        if let Some(pooled) = context.pool.take(endpoint.address) {
+            is_reused.set(true);
+            match pooled.exchange(outgoing(context, request, terms)).await {
                 Ok(incoming) => return Ok(incoming),
                 Err(connection::ExchangeError::Broken(e)) if request.repeatable => {
                     log::debug!(
@@ -114,41 +117,42 @@
                         endpoint.id
                     );
                     if !is_usable(context, endpoint) {
-                        let why = format!("{e}, and the endpoint is leaving");
-                        return Err(O::Unknown(why));
+                        let reason = format!("{e}, and the endpoint is draining");
+                        return Err(O::Unknown(reason));
                     }
-                    broken = Some(e);
+                    first_error = Some(e);
                 }
                 Err(e) => return Err(O::Unknown(e.to_string())),
             }
         }
     }
-    is_kept.set(false);
+    is_reused.set(false);
     let opened = connect(endpoint, timeout).await;
-    let opened = opened.map_err(|proof| match broken {
-        Some(e) => O::Unknown(format!("{e}, and then {}", proof.reason())),
+    let opened = opened.map_err(|proof| match first_error {
+        Some(e) => O::Unknown(format!("{e}, then {}", proof.reason())),
         None => O::NotRun(proof),
     })?;
     exchange_on(context, opened, request, terms).await
 }
 
-/// Sends the request on a new connection.
+/// Sends the request on the given connection.
 async fn exchange_on(
     context: &rc::Rc<context::ProcessContext>,
     opened: connection::EndpointConnection,
     request: &ForwardedRequest,
     terms: &wire::AttemptTerms<'_>,
-) -> Result<connection::IncomingAnswer, outcome::AttemptOutcome<OpenResponse>> {
+) -> Result<connection::IncomingResponse, outcome::AttemptOutcome<OpenResponse>> {
     let exchanged = opened.exchange(outgoing(context, request, terms)).await;
     exchanged.map_err(|e| outcome::AttemptOutcome::Unknown(e.to_string()))
 }
 
-/// Whether an endpoint may still get requests.
+/// Returns whether an endpoint still accepts requests.
 fn is_usable(context: &context::ProcessContext, endpoint: &directory::EndpointEntry) -> bool {
     let directory = context.fleet.directory.borrow();
     directory.usable(&endpoint.id).is_some()
 }
 
+/// Builds the request that is sent for one attempt.
 fn outgoing(
     context: &rc::Rc<context::ProcessContext>,
     request: &ForwardedRequest,
@@ -165,60 +169,63 @@
     }
 }
 
+/// Determines the outcome of an attempt from the head of its response.
 fn classify(
     context: &rc::Rc<context::ProcessContext>,
     endpoint: &directory::EndpointEntry,
     request: &ForwardedRequest,
-    incoming: connection::IncomingAnswer,
+    incoming: connection::IncomingResponse,
 ) -> outcome::AttemptOutcome<OpenResponse> {
     use outcome::AttemptOutcome as O;
 
-    let notes = context.wire.response_metadata(&incoming.head);
-    if let Some(load) = notes.load {
+    let metadata = context.wire.response_metadata(&incoming.head);
+    if let Some(load) = metadata.load {
         context
             .loads
             .borrow_mut()
             .record_report(&endpoint.id, load, context.clock.now());
     }
     let status = incoming.head.status;
-    if notes.other_endpoint && notes.answered_by.as_deref() != Some(endpoint.id.as_str()) {
-        return O::NotRun(outcome::NotRunProof::told_by_other());
+    if metadata.other_endpoint && metadata.answered_by.as_deref() != Some(endpoint.id.as_str()) {
+        return O::NotRun(outcome::NotRunProof::refused_by_other());
     }
-    if notes.other_endpoint || notes.not_run {
-        return O::NotRun(outcome::NotRunProof::told_by_endpoint());
+    if metadata.other_endpoint || metadata.not_run {
+        return O::NotRun(outcome::NotRunProof::refused_by_endpoint());
     }
-    if is_promise(status) {
+    if promises_not_run(status) {
         return O::Unknown(format!(
-            "status {status} without the word that it did not run"
+            "status {status} without a statement that the request did not run"
         ));
     }
-    let crossed = notes.id.is_some() && notes.id != request.id;
-    if crossed && !protection::is_disabled("crossed_answer") {
+    let is_crossed = metadata.id.is_some() && metadata.id != request.id;
+    if is_crossed && !protection::is_disabled("crossed_answer") {
         context.metrics.crossed.inc();
-        return O::Unknown("the answer belongs to another request".into());
+        return O::Unknown("the response belongs to another request".into());
     }
-    let failed = status.is_server_error();
-    if !failed && (!notes.is_confirmed || notes.is_encoded) {
-        return O::Unknown(format!("the endpoint does not vouch for status {status}"));
+    let is_failed = status.is_server_error();
+    if !is_failed && (!metadata.is_confirmed || metadata.is_encoded) {
+        return O::Unknown(format!("status {status} is not confirmed by the endpoint"));
     }
-    if failed && !notes.is_confirmed {
-        return O::Unknown(format!("status {status} without the endpoint's word"));
+    if is_failed && !metadata.is_confirmed {
+        return O::Unknown(format!(
+            "failure status {status} is not confirmed by the endpoint"
+        ));
     }
-    O::Completed(OpenResponse { incoming, notes })
+    O::Completed(OpenResponse { incoming, metadata })
 }
 
-/// Whether a caller takes a status as a promise that its request did not run.
-fn is_promise(status: StatusCode) -> bool {
+/// Returns whether callers take a status as a promise that the request did not run.
+fn promises_not_run(status: StatusCode) -> bool {
     matches!(status.as_u16(), 408 | 421 | 429 | 503)
 }
 
-/// Whether a status of an endpoint's own says that the request failed there.
+/// Returns whether a status that the endpoint itself sent means that the request failed.
 pub fn is_failure(status: StatusCode) -> bool {
     status.is_server_error()
 }
 
-/// Headers of a caller that concern only its connection.
-const HOP_HEADERS: [header::HeaderName; 8] = [
+/// Hop-by-hop headers, which apply to the caller's connection only.
+const HOP_BY_HOP_HEADERS: [header::HeaderName; 8] = [
     header::CONNECTION,
     header::TRANSFER_ENCODING,
     header::CONTENT_LENGTH,
@@ -229,25 +236,26 @@
     header::PROXY_AUTHORIZATION,
 ];
 
-/// The headers of a request that go on to an endpoint.
+/// Returns the headers of a request without the hop-by-hop ones, including those that
+/// its `Connection` header lists.
 pub fn forwarded_headers(headers: &wire::HeaderMap) -> wire::HeaderMap {
-    let named = headers
+    let connection_headers = headers
         .get(header::CONNECTION)
         .and_then(|v| v.to_str().ok());
-    let named: Vec<String> = named.map_or_else(Vec::new, |list| {
+    let connection_headers: Vec<String> = connection_headers.map_or_else(Vec::new, |list| {
         list.split(',')
             .map(|n| n.trim().to_ascii_lowercase())
             .collect()
     });
-    let mut kept = wire::HeaderMap::with_capacity(headers.len());
+    let mut forwarded = wire::HeaderMap::with_capacity(headers.len());
     for (name, value) in headers.iter() {
-        let hop = HOP_HEADERS.contains(name)
+        let is_hop_by_hop = HOP_BY_HOP_HEADERS.contains(name)
             || name.as_str() == "keep-alive"
             || name.as_str() == "proxy-connection"
-            || named.iter().any(|n| n == name.as_str());
-        if !hop {
-            kept.append(name.clone(), value.clone());
+            || connection_headers.iter().any(|n| n == name.as_str());
+        if !is_hop_by_hop {
+            forwarded.append(name.clone(), value.clone());
         }
     }
-    kept
+    forwarded
 }
--- a/src/serving/attempt_flow.rs
+++ b/src/serving/attempt_flow.rs
@@ -1,78 +1,80 @@
-//! The attempts of a request: where the next one goes, and how each ended.
+//! The attempts of a request: selects the endpoint of the next one and handles the
+//! outcome of each.
 
 use std::{cell, rc, time};
 
 use futures::future::{self, FutureExt as _};
 
-use super::{attempt, connection, crash_watch, relay, search_pace, slots, slow_attempt, wire};
+use super::{attempt, connection, crash_watch, relay, search_backoff, slots, slow_attempt, wire};
 use crate::{clock, ids, outcome};
 
-/// Attempts that did not run, beyond which a request that never ran is given
-/// up, and the search of one that did pauses.
+/// Number of consecutive attempts that did not run after which a request that has never
+/// run is refused, and one that has run backs off before it searches on.
 const MAX_NOT_RUN: u32 = 4;
-/// Share of a route's objective after which a caller who was refused may come back.
-const RETURN_SHARE: f64 = 1.0;
+/// `Retry-After` of a refused request, as a share of the route's latency objective.
+const RETRY_AFTER_SHARE: f64 = 1.0;
 
-/// Attempts of one request so far.
+/// The attempts of one request so far.
 #[derive(Default)]
 pub(super) struct AttemptLog {
-    /// Endpoints that were tried in this round of the search.
+    /// Endpoints tried in the current round of the search.
     pub(super) tried: Vec<ids::EndpointId>,
-    /// The endpoint that was tried last.
+    /// The endpoint tried last.
     pub(super) last: Option<ids::EndpointId>,
-    /// Attempts that ran or may have run.
+    /// Number of attempts that ran or may have run.
     pub(super) ran: u32,
-    /// Attempts that did not run.
+    /// Number of attempts that did not run.
     pub(super) not_run: u32,
-    /// Of these, those since the search paused.
-    refused: u32,
-    pace: search_pace::SearchPace,
-    /// Pace of the search while the present run is slow, once it was.
-    pub(super) slow_pace: cell::Cell<Option<search_pace::SearchPace>>,
-    /// Whether the present attempt went out on a kept connection.
-    pub(super) is_kept: rc::Rc<cell::Cell<bool>>,
-    /// When the machine of a slow endpoint was last asked for a connection.
+    /// Number of attempts that did not run since the search last backed off.
+    recent_not_run: u32,
+    /// Backoff of the search after an attempt ended.
+    backoff: search_backoff::SearchBackoff,
+    /// Backoff of the search for a replacement of the current run; set once that run was slow.
+    pub(super) slow_backoff: cell::Cell<Option<search_backoff::SearchBackoff>>,
+    /// Whether the current attempt was sent on a pooled connection.
+    pub(super) is_reused: rc::Rc<cell::Cell<bool>>,
+    /// When a test connection to the host of a slow endpoint was last opened.
     pub(super) checked_at: cell::Cell<Option<clock::BootInstant>>,
 }
 
 impl AttemptLog {
-    /// Notes that an endpoint is tried.
-    pub(super) fn begin(&mut self, id: &ids::EndpointId) {
+    /// Records the start of an attempt at an endpoint.
+    pub(super) fn record_start(&mut self, id: &ids::EndpointId) {
         self.tried.push(id.clone());
         self.last = Some(id.clone());
-        self.slow_pace.set(None);
+        self.slow_backoff.set(None);
         self.checked_at.set(None);
     }
 
-    /// Notes the head of an answer: the next search begins anew.
-    fn end_search(&mut self) {
-        self.refused = 0;
-        self.pace = search_pace::SearchPace::default();
-        self.slow_pace.set(None);
+    /// Resets the search state after the head of a response arrived.
+    fn reset_search(&mut self) {
+        self.recent_not_run = 0;
+        self.backoff = search_backoff::SearchBackoff::default();
+        self.slow_backoff.set(None);
     }
 }
 
-/// How to go on after an attempt without an answer.
+/// What to do after an attempt that gave no usable response.
 pub(super) enum NextStep {
-    Again,
+    Retry,
     GiveUp(relay::FinalError),
 }
 
-/// An attempt that went out, and whose head is awaited.
+/// An attempt whose response head is awaited.
 pub(super) struct SentAttempt {
     pub(super) slot: slots::HeldSlot,
     pub(super) sending:
         future::LocalBoxFuture<'static, outcome::AttemptOutcome<attempt::OpenResponse>>,
 }
 
-/// The answer of an attempt, with the place that it holds.
-pub(super) struct Answered {
+/// An attempt with a response, and the slot that it holds.
+pub(super) struct RespondingAttempt {
     pub(super) slot: slots::HeldSlot,
     pub(super) open: attempt::OpenResponse,
 }
 
 impl relay::RequestRelay {
-    /// The service of the next attempt.
+    /// Chooses the service of the next attempt at random by the weights of the route.
     pub(super) fn choose_service(&self) -> Option<ids::ServiceName> {
         let targets = &self.request.route.targets;
         let total: u32 = targets.iter().map(|t| t.weight).sum();
@@ -81,73 +83,80 @@
         }
         let mut point = rand::random_range(0..total);
         let chosen = targets.iter().find(|t| {
-            let inside = point < t.weight;
+            let is_inside = point < t.weight;
             point = point.saturating_sub(t.weight);
-            inside
+            is_inside
         });
         chosen.map(|t| t.service.clone())
     }
 
-    /// The next answer with a head, over as many attempts as are allowed.
+    /// Returns the next response, over as many attempts as are allowed.
     ///
-    /// `sent` is an attempt that went out already, if there is one.
-    pub(super) async fn next_answer(
+    /// `sent` is an attempt that is already under way, if there is one.
+    ///
+    /// # Errors
+    /// No attempt succeeded, or no further one is allowed.
+    pub(super) async fn next_response(
         &mut self,
         mut sent: Option<Box<SentAttempt>>,
-    ) -> Result<Answered, relay::FinalError> {
+    ) -> Result<RespondingAttempt, relay::FinalError> {
         loop {
             let current = match sent.take() {
                 Some(current) => *current,
                 None => {
                     let slot = self.find_slot().await?;
-                    self.log.begin(&slot.endpoint.id);
+                    self.log.record_start(&slot.endpoint.id);
                     self.start(slot, None)
                 }
             };
-            match self.answer_of(current).await {
-                Ok(answered) => return Ok(answered),
-                Err(NextStep::Again) => {}
+            match self.response_of(current).await {
+                Ok(responding) => return Ok(responding),
+                Err(NextStep::Retry) => {}
                 Err(NextStep::GiveUp(e)) => return Err(e),
             }
         }
     }
 
-    /// A place for the next attempt.
+    /// Acquires a slot for the next attempt.
+    ///
+    /// For a request that has run, the search goes on until its deadline; a new request
+    /// is refused at once if there is no slot.
     ///
-    /// A request that has begun to run is not given up for want of a place
-    /// while its caller waits; a new one is refused at once.
+    /// # Errors
+    /// There is no slot, the deadline has passed, or the request is quarantined.
     async fn find_slot(&mut self) -> Result<slots::HeldSlot, relay::FinalError> {
-        if self.log.ran > 0 && self.log.refused >= MAX_NOT_RUN {
-            self.pause_search().await;
+        if self.log.ran > 0 && self.log.recent_not_run >= MAX_NOT_RUN {
+            self.back_off().await;
         }
         loop {
-            if self.left().is_zero() {
+            if self.time_left().is_zero() {
                 return Err(relay::FinalError::Late);
             }
             if self.log.ran > 0 && self.is_blamed() {
-                let why = "endpoint after endpoint ended under it";
-                return Err(relay::FinalError::Failed(why.into()));
+                let reason = "each endpoint that began to run the request crashed";
+                return Err(relay::FinalError::Failed(reason.into()));
             }
             match self.request_slot().await? {
                 Ok(slot) => return Ok(slot),
-                Err(why) if !self.may_search() => return Err(self.slot_unavailable(why)),
+                Err(reason) if !self.may_search() => return Err(self.slot_unavailable(reason)),
                 Err(_) => {
                     self.log.tried.clear();
-                    self.pause_search().await;
+                    self.back_off().await;
                 }
             }
         }
     }
 
-    /// Whether the request is held back, by what came of its own attempts as well.
+    /// Returns whether the request is quarantined, which its own attempts may have caused.
     pub(super) fn is_blamed(&self) -> bool {
         let digest = self.request.forwarded.digest;
         self.context.crashes.is_blamed(digest)
     }
 
-    async fn pause_search(&mut self) {
-        self.log.refused = 0;
-        let delay = self.log.pace.next_delay().min(self.left());
+    /// Waits before the next round of the search.
+    async fn back_off(&mut self) {
+        self.log.recent_not_run = 0;
+        let delay = self.log.backoff.next_delay().min(self.time_left());
         tokio::time::sleep(delay).await;
     }
 
@@ -155,22 +164,22 @@
         &self,
     ) -> Result<Result<slots::HeldSlot, slots::SlotUnavailable>, relay::FinalError> {
         let service = self.choose_service();
-        let none = || relay::FinalError::Failed("the route has no service".into());
-        let service = service.ok_or_else(none)?;
+        let no_service = || relay::FinalError::Failed("the route has no service".into());
+        let service = service.ok_or_else(no_service)?;
         let tried = &self.log.tried;
         let request = slots::SlotParams {
             service: &service,
             tried,
             objective: self.request.route.objective,
         };
-        // What has begun goes on, also where a new request would not begin.
+        // A request that has run may exceed the capacity at which new ones are refused.
         Ok(match self.log.ran > 0 {
-            true => slots::any_slot(&self.context, &request).await,
+            true => slots::acquire_or_choose_locally(&self.context, &request).await,
             false => slots::acquire(&self.context, &request).await,
         })
     }
 
-    /// Whether a request that has begun may still go on somewhere.
+    /// Returns whether a request that has run may still be attempted somewhere.
     fn may_search(&self) -> bool {
         let directory = self.context.fleet.directory.borrow();
         let targets = &self.request.route.targets;
@@ -180,19 +189,20 @@
         is_listed && self.log.ran > 0 && self.attempts_left() > 0
     }
 
-    /// The final word if no place is left: true to what happened before.
-    fn slot_unavailable(&self, why: slots::SlotUnavailable) -> relay::FinalError {
+    /// Returns the final error if no slot is left; it states whether an attempt has run.
+    fn slot_unavailable(&self, reason: slots::SlotUnavailable) -> relay::FinalError {
         if self.log.ran > 0 {
-            return relay::FinalError::Failed(format!("an attempt failed, then: {why}"));
+            return relay::FinalError::Failed(format!("an attempt failed, then: {reason}"));
         }
         relay::FinalError::NotRun(
-            self.request.route.objective.mul_f64(RETURN_SHARE),
-            why.to_string(),
+            self.request.route.objective.mul_f64(RETRY_AFTER_SHARE),
+            reason.to_string(),
         )
     }
 
-    /// An attempt at a place, on a connection that was made for it if there is
-    /// one; it goes out when it is first awaited.
+    /// Prepares an attempt on a slot; it is sent when it is first polled.
+    ///
+    /// `opened` is a connection opened for it, if there is one.
     pub(super) fn start(
         &self,
         slot: slots::HeldSlot,
@@ -201,9 +211,9 @@
         let context = self.context.clone();
         let endpoint = slot.endpoint.clone();
         let forwarded = self.request.forwarded.clone();
-        let (left, resume_after) = (self.left(), self.last_event);
-        let is_kept = self.log.is_kept.clone();
-        is_kept.set(false);
+        let (left, resume_after) = (self.time_left(), self.last_event);
+        let is_reused = self.log.is_reused.clone();
+        is_reused.set(false);
         let sending = async move {
             let terms = wire::AttemptTerms {
                 endpoint: &endpoint.id,
@@ -211,7 +221,7 @@
                 resume_after,
             };
             attempt::send(
-                &context, &endpoint, &forwarded, &terms, opened, &is_kept, left,
+                &context, &endpoint, &forwarded, &terms, opened, &is_reused, left,
             )
             .await
         };
@@ -219,21 +229,21 @@
         SentAttempt { slot, sending }
     }
 
-    /// The answer of an attempt, or of another that goes on in its place.
-    async fn answer_of(&mut self, mut sent: SentAttempt) -> Result<Answered, NextStep> {
+    /// Waits for the response of an attempt, or of the one that it is handed off to.
+    async fn response_of(&mut self, mut sent: SentAttempt) -> Result<RespondingAttempt, NextStep> {
         use outcome::AttemptOutcome as O;
         use slow_attempt::Waited as W;
 
         loop {
             let SentAttempt { slot, sending } = &mut sent;
             let awaited = slow_attempt::Awaited::Head;
-            let outcome = match self.wait_or_move(slot, awaited, sending).await {
-                W::Came(outcome) => outcome,
-                W::Lost(waited) => O::Unknown(no_answer(waited)),
-                W::Moved(next, waited) => {
+            let outcome = match self.wait_or_hand_off(slot, awaited, sending).await {
+                W::Done(outcome) => outcome,
+                W::Lost(waited) => O::Unknown(no_response(waited)),
+                W::HandedOff(next, waited) => {
                     self.log.ran += 1;
                     let id = sent.slot.endpoint.id.clone();
-                    self.record_attempt(&id, "unknown", &no_answer(waited));
+                    self.record_attempt(&id, "unknown", &no_response(waited));
                     sent = *next;
                     continue;
                 }
@@ -242,12 +252,12 @@
         }
     }
 
-    /// Counts how an attempt ended; on failure says how to go on.
+    /// Records the outcome of an attempt; returns what to do next if it failed.
     pub(super) fn classify(
         &mut self,
         slot: slots::HeldSlot,
         outcome: outcome::AttemptOutcome<attempt::OpenResponse>,
-    ) -> Result<Answered, NextStep> {
+    ) -> Result<RespondingAttempt, NextStep> {
         use outcome::AttemptOutcome as O;
 
         let endpoint = slot.endpoint.clone();
@@ -255,94 +265,95 @@
             O::Completed(open) => {
                 self.log.ran += 1;
                 let status = open.incoming.head.status;
-                let again = attempt::is_failure(status) && self.attempts_left() > 0;
+                let may_retry = attempt::is_failure(status) && self.attempts_left() > 0;
                 if attempt::is_failure(status) {
                     slot.record_failed(false);
                 }
-                if again && self.may_repeat() {
+                if may_retry && self.may_repeat() {
                     self.record_attempt(&endpoint.id, "failed", status.as_str());
-                    return Err(NextStep::Again);
+                    return Err(NextStep::Retry);
                 }
-                self.log.end_search();
-                Ok(Answered { slot, open })
+                self.log.reset_search();
+                Ok(RespondingAttempt { slot, open })
             }
             O::NotRun(proof) => {
                 self.log.not_run += 1;
-                self.log.refused += 1;
+                self.log.recent_not_run += 1;
                 let reason = proof.reason();
                 self.record_attempt(&endpoint.id, "not_run", &reason.to_string());
                 slot.record_refused(reason);
-                if self.log.refused >= MAX_NOT_RUN && !self.may_search() {
-                    return Err(NextStep::GiveUp(self.not_run()));
+                if self.log.recent_not_run >= MAX_NOT_RUN && !self.may_search() {
+                    return Err(NextStep::GiveUp(self.not_run_error()));
                 }
-                Err(NextStep::Again)
+                Err(NextStep::Retry)
             }
-            O::Failed(why) | O::Unknown(why) => {
+            O::Failed(reason) | O::Unknown(reason) => {
                 self.log.ran += 1;
-                self.record_attempt(&endpoint.id, "unknown", &why);
-                self.watch_end(&slot, false);
-                // A full queue is silent too: only several in a row eject it.
+                self.record_attempt(&endpoint.id, "unknown", &reason);
+                self.watch_for_crash(&slot, false);
+                // Not recorded as silent: an endpoint with a full queue gives no response
+                // either. Only several such failures in a row eject it.
                 slot.record_failed(false);
-                Err(self.after_unknown(why))
+                Err(self.after_unknown(reason))
             }
         }
     }
 
-    fn not_run(&self) -> relay::FinalError {
+    fn not_run_error(&self) -> relay::FinalError {
         if self.log.ran > 0 {
-            return relay::FinalError::Failed("no endpoint took the next attempt".into());
+            return relay::FinalError::Failed("no endpoint accepted the next attempt".into());
         }
-        let delay = self.request.route.objective.mul_f64(RETURN_SHARE);
-        relay::FinalError::NotRun(delay, "no endpoint took the request".into())
+        let delay = self.request.route.objective.mul_f64(RETRY_AFTER_SHARE);
+        relay::FinalError::NotRun(delay, "no endpoint accepted the request".into())
     }
 
-    /// How to go on after an attempt that may have run.
-    pub(super) fn after_unknown(&self, why: String) -> NextStep {
-        if self.left().is_zero() {
+    /// Returns what to do after an attempt that may have run.
+    pub(super) fn after_unknown(&self, reason: String) -> NextStep {
+        if self.time_left().is_zero() {
             return NextStep::GiveUp(relay::FinalError::Late);
         }
         if self.may_repeat() && self.attempts_left() > 0 {
-            return NextStep::Again;
+            return NextStep::Retry;
         }
-        NextStep::GiveUp(relay::FinalError::Failed(why))
+        NextStep::GiveUp(relay::FinalError::Failed(reason))
     }
 
-    /// Notes an answer that broke off; whether its endpoint ended is found out beside it.
-    pub(super) fn record_broken(&self, slot: &slots::HeldSlot, outcome: &str, why: &str) {
-        self.record_attempt(&slot.endpoint.id, outcome, why);
-        self.watch_end(slot, true);
+    /// Records a truncated response, and starts a check whether its endpoint crashed.
+    pub(super) fn record_truncated(&self, slot: &slots::HeldSlot, outcome: &str, reason: &str) {
+        self.record_attempt(&slot.endpoint.id, outcome, reason);
+        self.watch_for_crash(slot, true);
     }
 
-    /// Has it found out whether the endpoint of a broken attempt ended.
-    fn watch_end(&self, slot: &slots::HeldSlot, has_head: bool) {
+    /// Starts a background check whether the endpoint of a failed attempt crashed.
+    fn watch_for_crash(&self, slot: &slots::HeldSlot, has_head: bool) {
         let run = crash_watch::CutRun {
             digest: self.request.forwarded.digest,
             id: self.request.terms.id.clone().unwrap_or_default(),
             endpoint: slot.endpoint.clone(),
-            begun: slot.taken(),
+            begun: slot.acquired_at(),
             has_head,
         };
         crash_watch::begin(&self.context, run);
     }
 
-    /// One line and one count for an attempt that gave no answer.
-    pub(super) fn record_attempt(&self, id: &ids::EndpointId, outcome: &str, why: &str) {
+    /// Logs and counts an attempt that gave no complete response.
+    pub(super) fn record_attempt(&self, id: &ids::EndpointId, outcome: &str, reason: &str) {
         self.context
             .metrics
             .attempts
             .with_label_values(&[outcome])
             .inc();
         log::info!(
-            "event=attempt request={} digest={} route={} endpoint={id} outcome={outcome} why=\"{why}\" ran={} left_ms={}",
+            "event=attempt request={} digest={} route={} endpoint={id} outcome={outcome} why=\"{reason}\" ran={} left_ms={}",
             self.request.terms.id.as_deref().unwrap_or("-"),
             self.request.forwarded.digest,
             self.request.route.name,
             self.log.ran,
-            self.left().as_millis(),
+            self.time_left().as_millis(),
         );
     }
 }
 
-fn no_answer(waited: time::Duration) -> String {
-    format!("no answer within {} ms", waited.as_millis())
+fn no_response(waited: time::Duration) -> String {
+    format!("no response within {} ms", waited.as_millis())
 }
