--- a/src/serving/item_run.rs
+++ b/src/serving/item_run.rs
@@ -73,7 +73,7 @@
     pub(super) async fn run(self) {
         let key = (self.endpoint.id.clone(), self.number);
         let is_borrowed = self.lender.is_some();
-        let begun = clock::BootInstant::now();
+        let started = clock::BootInstant::now();
         let cancelled = self.context.jobs.begin_stream(key.clone(), is_borrowed);
         self.job.borrow_mut().streams.insert(key.clone());
         let before = self.last_event();
@@ -96,7 +96,7 @@
             }
             RunEnd::Cut(_) | RunEnd::NotRun(_) | RunEnd::Preempted => {}
         }
-        self.record_hold_time(begun.elapsed(), &end);
+        self.record_hold_time(started.elapsed(), &end);
         self.settle(end);
         self.context.jobs.work.notify_one();
     }
--- a/src/serving/job_acceptance.rs
+++ b/src/serving/job_acceptance.rs
@@ -67,8 +67,8 @@
     let members = context.members.borrow();
     let owners = context.owners();
     let others = owners.iter().filter(|o| o.id != *context.id());
-    let found = others.filter_map(|o| Some((o.id.clone(), members.address_of(&o.id)?)));
-    found.take(MAX_WRITERS).collect()
+    let addresses = others.filter_map(|o| Some((o.id.clone(), members.address_of(&o.id)?)));
+    addresses.take(MAX_WRITERS).collect()
 }
 
 /// Writes a job through a peer after the store has refused this process.
--- a/src/serving/job_checkpoints.rs
+++ b/src/serving/job_checkpoints.rs
@@ -102,28 +102,28 @@
             self.items.insert(update.index, update);
             return true;
         }
-        let known = self.items.get_mut(&update.index);
-        if known.as_ref().is_some_and(|k| k.state.is_some()) {
+        let current = self.items.get_mut(&update.index);
+        if current.as_ref().is_some_and(|k| k.state.is_some()) {
             return true;
         }
-        let known_events = known.as_ref().map_or(0, |k| k.events.len());
+        let current_events = current.as_ref().map_or(0, |k| k.events.len());
         if update.skipped == 0 {
-            let is_further = update.events.len() > known_events;
+            let is_further = update.events.len() > current_events;
             if is_further {
                 self.items.insert(update.index, update);
             }
             return is_further;
         }
         let fits =
-            |k: &&mut ItemCheckpoint| k.chain == update.chain && update.skipped <= known_events;
-        let Some(known) = known.filter(fits) else {
+            |k: &&mut ItemCheckpoint| k.chain == update.chain && update.skipped <= current_events;
+        let Some(current) = current.filter(fits) else {
             return false;
         };
-        known.events.truncate(update.skipped);
-        known.events.extend(update.events);
-        known.last_event = update.last_event;
-        known.spent = update.spent;
-        known.failures = update.failures;
+        current.events.truncate(update.skipped);
+        current.events.extend(update.events);
+        current.last_event = update.last_event;
+        current.spent = update.spent;
+        current.failures = update.failures;
         true
     }
 }
@@ -186,9 +186,9 @@
     /// Returns the progress of all jobs.
     pub fn all(&self) -> Vec<JobCheckpoint> {
         let replicas = self.replicas.borrow();
-        let jobs = replicas.iter().map(|(job, known)| JobCheckpoint {
+        let jobs = replicas.iter().map(|(job, replica)| JobCheckpoint {
             job: job.clone(),
-            items: known.items.values().cloned().collect(),
+            items: replica.items.values().cloned().collect(),
         });
         jobs.collect()
     }
--- a/src/serving/job_runner.rs
+++ b/src/serving/job_runner.rs
@@ -43,7 +43,7 @@
     // An older job may have been ended, or may have results from an earlier owner.
     if age <= NEW_JOB_MAX_AGE_MS && context.jobs.is_ended(&id) == Some(false) {
         let mut job = job.borrow_mut();
-        job.is_known = true;
+        job.is_loaded = true;
         job.knowledge = open_job::OwnerKnowledge::Current;
     }
     context.jobs.work.notify_one();
--- a/src/serving/job_table.rs
+++ b/src/serving/job_table.rs
@@ -289,7 +289,7 @@
     }
     let mut job = job.borrow_mut();
     job.read_at = Some(clock::BootInstant::now());
-    job.is_known = true;
+    job.is_loaded = true;
     Ok(())
 }
 
@@ -308,24 +308,24 @@
     };
     let owned = context.job_owner(&request.job).as_ref() == Some(context.id());
     let deadline = clock::BootInstant::now() + request.wait;
-    if !job.borrow().is_known {
+    if !job.borrow().is_loaded {
         refresh_job(context, &job).await?;
     }
     loop {
-        let (known, finished, stale, mut changes) = {
+        let (committed, finished, stale, mut changes) = {
             let job = job.borrow();
             let fresh = |at: clock::BootInstant| at.elapsed() < RESULTS_MAX_AGE;
             let stale = !job.read_at.is_some_and(fresh);
-            let known = job.committed.len();
-            (known, job.is_finished(), stale, job.changed.subscribe())
+            let committed = job.committed.len();
+            (committed, job.is_finished(), stale, job.changed.subscribe())
         };
-        let behind = request.after > known || (!owned && request.after >= known);
+        let behind = request.after > committed || (!owned && request.after >= committed);
         if behind && stale && !finished {
             refresh_results(context, &job).await?;
             continue;
         }
         let remaining = deadline.duration_since(clock::BootInstant::now());
-        if known > request.after || finished || remaining.is_zero() {
+        if committed > request.after || finished || remaining.is_zero() {
             return Ok(Some(job.borrow().page(request.after)));
         }
         let timeout = if owned {
--- a/src/serving/open_job.rs
+++ b/src/serving/open_job.rs
@@ -90,15 +90,19 @@
     }
 
     /// Returns the progress beyond the events that the receiver has, if there is any.
-    fn checkpoint(&self, index: usize, known: usize) -> Option<job_checkpoints::ItemCheckpoint> {
+    fn checkpoint(
+        &self,
+        index: usize,
+        received_events: usize,
+    ) -> Option<job_checkpoints::ItemCheckpoint> {
         let update = self
             .events
-            .get(known..)
+            .get(received_events..)
             .filter(|update| !update.is_empty())?;
         Some(job_checkpoints::ItemCheckpoint {
             index,
             chain: self.chain,
-            skipped: known,
+            skipped: received_events,
             events: update.to_vec(),
             state: None,
             last_event: self.last_event,
@@ -155,7 +159,7 @@
     /// Due time of all results, in milliseconds since the epoch, once known.
     pub due_ms: Option<u64>,
     /// Whether the results in the store have been read.
-    pub is_known: bool,
+    pub is_loaded: bool,
     /// Knowledge of the work of earlier owners; items run only while it is current.
     pub knowledge: OwnerKnowledge,
     pub(super) committing: bool,
@@ -180,7 +184,7 @@
             streams: collections::HashSet::new(),
             ended: false,
             due_ms,
-            is_known: false,
+            is_loaded: false,
             knowledge: OwnerKnowledge::Outdated,
             committing: false,
             replica_peer: None,
@@ -254,12 +258,12 @@
     /// the results that are not in the store yet.
     pub fn checkpoint(
         &self,
-        known: impl Fn(&ItemProgress) -> usize,
+        received_events: impl Fn(&ItemProgress) -> usize,
     ) -> job_checkpoints::JobCheckpoint {
         let items = self.items.iter().enumerate();
         let update = items.filter_map(|(index, item)| match item.phase {
-            ItemPhase::Done => self.result_checkpoint(index, known(item)),
-            _ => item.checkpoint(index, known(item)),
+            ItemPhase::Done => self.result_checkpoint(index, received_events(item)),
+            _ => item.checkpoint(index, received_events(item)),
         });
         job_checkpoints::JobCheckpoint {
             job: self.record.id.clone(),
@@ -271,10 +275,10 @@
     fn result_checkpoint(
         &self,
         index: usize,
-        known: usize,
+        received_events: usize,
     ) -> Option<job_checkpoints::ItemCheckpoint> {
         let item = &self.items[index];
-        if known == RESULT_REPLICATED {
+        if received_events == RESULT_REPLICATED {
             return None;
         }
         let id = &self.record.items[index].id;
--- a/src/serving/progress_transfer.rs
+++ b/src/serving/progress_transfer.rs
@@ -101,9 +101,9 @@
             return PartOutcome::Unfit;
         }
         let job = part.job.clone();
-        let known = self.incoming.remove(&job);
-        let known = known.filter(|known| known.transfer == part.transfer);
-        let mut bytes = known.map_or_else(Vec::new, |known| known.bytes);
+        let entry = self.incoming.remove(&job);
+        let entry = entry.filter(|entry| entry.transfer == part.transfer);
+        let mut bytes = entry.map_or_else(Vec::new, |entry| entry.bytes);
         if part.offset > bytes.len() {
             return PartOutcome::Unfit;
         }
@@ -132,12 +132,12 @@
     /// `MAX_INCOMING_BYTES`.
     fn trim(&mut self) {
         self.incoming
-            .retain(|_, known| known.last_seen.elapsed() < INCOMING_TIMEOUT);
+            .retain(|_, entry| entry.last_seen.elapsed() < INCOMING_TIMEOUT);
         while self.bytes() > MAX_INCOMING_BYTES {
             let oldest = self
                 .incoming
                 .iter()
-                .min_by_key(|(_, known)| known.last_seen);
+                .min_by_key(|(_, entry)| entry.last_seen);
             let Some(oldest) = oldest.map(|(job, _)| job.clone()) else {
                 return;
             };
@@ -147,7 +147,7 @@
     }
 
     fn bytes(&self) -> usize {
-        self.incoming.values().map(|known| known.bytes.len()).sum()
+        self.incoming.values().map(|entry| entry.bytes.len()).sum()
     }
 }
 
--- a/src/serving/ready_items.rs
+++ b/src/serving/ready_items.rs
@@ -124,10 +124,11 @@
     let item = &job.record.items[index];
     let digest = item_run::item_digest(&job.record.host, item);
     let verdict = crash_guard::admit(context, digest, &item.id);
-    let CrashVerdict::Held(left) = verdict else {
+    let CrashVerdict::Held(remaining) = verdict else {
         return false;
     };
-    job.items[index].not_before = clock::BootInstant::now() + left.min(QUARANTINE_CHECK_INTERVAL);
+    job.items[index].not_before =
+        clock::BootInstant::now() + remaining.min(QUARANTINE_CHECK_INTERVAL);
     true
 }
 
--- a/tests/checkpoint_file.rs
+++ b/tests/checkpoint_file.rs
@@ -1,4 +1,4 @@
-//! The file with the progress of jobs: whole or not used.
+//! Tests that the checkpoint file is either read completely or rejected.
 
 use std::{fs, path, time};
 
@@ -7,13 +7,13 @@
     serving::{checkpoint_file, job_checkpoints, wire},
 };
 
-fn folder() -> path::PathBuf {
-    let folder = std::env::temp_dir().join(ids::unique("jayhollow-progress"));
-    fs::create_dir_all(&folder).expect("the folder is made");
-    folder
+fn temp_dir() -> path::PathBuf {
+    let directory = std::env::temp_dir().join(ids::unique("jayhollow-progress"));
+    fs::create_dir_all(&directory).expect("failed to create the directory");
+    directory
 }
 
-fn job() -> job_checkpoints::JobCheckpoint {
+fn sample_checkpoint() -> job_checkpoints::JobCheckpoint {
     let item = |index, state| job_checkpoints::ItemCheckpoint {
         index,
         chain: 7,
@@ -25,72 +25,83 @@
         spent: time::Duration::from_millis(30),
     };
     job_checkpoints::JobCheckpoint {
-        job: "job-1".parse().expect("a name"),
+        job: "job-1".parse().expect("valid job identifier"),
         items: vec![item(0, None), item(3, Some(wire::ItemState::Completed))],
     }
 }
 
 #[test]
-fn what_is_written_is_read() {
-    let folder = folder();
-    assert!(checkpoint_file::read(&folder).is_err(), "there is none yet");
-    checkpoint_file::write(&folder, &[job()]).expect("it is written");
-    checkpoint_file::write(&folder, &[job(), job()]).expect("it is replaced");
-    let read = checkpoint_file::read(&folder).expect("it is whole");
-    assert_eq!(read, [job(), job()]);
-    fs::remove_dir_all(folder).expect("the folder is removed");
+fn written_checkpoints_are_read_back() {
+    let directory = temp_dir();
+    assert!(
+        checkpoint_file::read(&directory).is_err(),
+        "no file written yet"
+    );
+    checkpoint_file::write(&directory, &[sample_checkpoint()]).expect("failed to write the file");
+    checkpoint_file::write(&directory, &[sample_checkpoint(), sample_checkpoint()])
+        .expect("failed to replace the file");
+    let read = checkpoint_file::read(&directory).expect("failed to read the file");
+    assert_eq!(read, [sample_checkpoint(), sample_checkpoint()]);
+    fs::remove_dir_all(directory).expect("failed to remove the directory");
 }
 
 #[test]
-fn a_file_with_any_byte_changed_or_missing_is_not_used() {
-    let folder = folder();
-    checkpoint_file::write(&folder, &[job()]).expect("it is written");
-    let file = folder.join("progress");
-    let whole = fs::read(&file).expect("it is there");
-    for cut in 0..whole.len() {
-        fs::write(&file, &whole[..cut]).expect("it is written");
-        assert!(checkpoint_file::read(&folder).is_err(), "cut at {cut}");
+fn corrupt_or_truncated_file_is_rejected() {
+    let directory = temp_dir();
+    checkpoint_file::write(&directory, &[sample_checkpoint()]).expect("failed to write the file");
+    let file = directory.join("progress");
+    let whole = fs::read(&file).expect("failed to read the file");
+    for length in 0..whole.len() {
+        fs::write(&file, &whole[..length]).expect("failed to write the file");
+        assert!(
+            checkpoint_file::read(&directory).is_err(),
+            "truncated to {length} bytes"
+        );
     }
-    for at in 0..whole.len() {
+    for offset in 0..whole.len() {
         let mut changed = whole.clone();
-        changed[at] ^= 0x20;
-        fs::write(&file, &changed).expect("it is written");
-        assert!(checkpoint_file::read(&folder).is_err(), "changed at {at}");
+        changed[offset] ^= 0x20;
+        fs::write(&file, &changed).expect("failed to write the file");
+        assert!(
+            checkpoint_file::read(&directory).is_err(),
+            "byte {offset} changed"
+        );
     }
     let mut longer = whole.clone();
     longer.push(b' ');
-    fs::write(&file, &longer).expect("it is written");
-    assert!(checkpoint_file::read(&folder).is_err(), "longer");
-    fs::remove_dir_all(folder).expect("the folder is removed");
+    fs::write(&file, &longer).expect("failed to write the file");
+    assert!(checkpoint_file::read(&directory).is_err(), "trailing byte");
+    fs::remove_dir_all(directory).expect("failed to remove the directory");
 }
 
 #[test]
-fn a_disk_that_is_gone_costs_the_file_only() {
-    let folder = folder();
-    fs::remove_dir_all(&folder).expect("the folder is removed");
-    assert!(checkpoint_file::write(&folder, &[job()]).is_err());
-    let started = checkpoint_file::CheckpointFile::start(folder);
-    let (file, jobs) = started.expect("the thread starts");
+fn missing_directory_loses_only_the_file() {
+    let directory = temp_dir();
+    fs::remove_dir_all(&directory).expect("failed to remove the directory");
+    assert!(checkpoint_file::write(&directory, &[sample_checkpoint()]).is_err());
+    let started = checkpoint_file::CheckpointFile::start(directory);
+    let (file, jobs) = started.expect("failed to start the thread");
     assert!(jobs.is_empty());
     for _ in 0..10 {
-        file.write(vec![job()]);
+        file.write(vec![sample_checkpoint()]);
     }
 }
 
 #[test]
-fn a_start_does_not_wait_for_a_disk_that_hangs() {
-    let folder = folder();
-    // A pipe that nobody writes to: opening it waits for ever.
-    let pipe = folder.join("progress");
-    let name = std::ffi::CString::new(pipe.to_str().expect("it is text")).expect("no zero");
-    // SAFETY: the name is a string that ends with a zero.
-    let made = unsafe { libc::mkfifo(name.as_ptr(), 0o600) };
-    assert_eq!(made, 0);
-    let started = checkpoint_file::CheckpointFile::start(folder.clone());
-    let (file, jobs) = started.expect("the thread starts");
+fn startup_does_not_wait_for_a_hanging_disk() {
+    let directory = temp_dir();
+    // A named pipe without a writer: opening it blocks forever.
+    let pipe = directory.join("progress");
+    let name = std::ffi::CString::new(pipe.to_str().expect("path is not valid UTF-8"))
+        .expect("path contains a NUL byte");
+    // SAFETY: `name` points to a NUL-terminated string.
+    let status = unsafe { libc::mkfifo(name.as_ptr(), 0o600) };
+    assert_eq!(status, 0);
+    let started = checkpoint_file::CheckpointFile::start(directory.clone());
+    let (file, jobs) = started.expect("failed to start the thread");
     assert!(jobs.is_empty());
     for _ in 0..10 {
-        file.write(vec![job()]);
+        file.write(vec![sample_checkpoint()]);
     }
-    fs::remove_dir_all(folder).expect("the folder is removed");
+    fs::remove_dir_all(directory).expect("failed to remove the directory");
 }
--- a/tests/job_checkpoints.rs
+++ b/tests/job_checkpoints.rs
@@ -1,4 +1,5 @@
-//! Progress kept for peers: chains of runs are never joined, and memory is bounded.
+//! Tests that replicas never combine events of different chains of runs and that their
+//! total size is bounded.
 
 use std::time;
 
@@ -10,7 +11,7 @@
 fn update(chain: u64, skipped: usize, events: usize) -> JobCheckpoint {
     let data = |n: usize| format!("chain {chain} event {}", skipped + n + 1);
     JobCheckpoint {
-        job: "job-1".parse().expect("a name"),
+        job: "job-1".parse().expect("valid job identifier"),
         items: vec![ItemCheckpoint {
             index: 0,
             chain,
@@ -27,34 +28,34 @@
 #[rstest::rstest]
 #[case::first(&[(1, 0, 3)], true)]
 #[case::next(&[(1, 0, 3), (1, 3, 2)], true)]
-#[case::again(&[(1, 0, 3), (1, 2, 2)], true)]
-#[case::nothing_before(&[(1, 3, 2)], false)]
-#[case::a_gap(&[(1, 0, 3), (1, 4, 2)], false)]
-#[case::another_chain(&[(1, 0, 3), (2, 3, 2)], false)]
-#[case::another_chain_that_is_further(&[(1, 0, 3), (2, 0, 5)], true)]
-#[case::another_chain_that_is_not(&[(1, 0, 3), (2, 0, 2)], false)]
-#[case::after_it(&[(1, 0, 3), (2, 0, 2), (2, 2, 4)], false)]
-fn what_does_not_fit_is_asked_for_in_whole(
+#[case::overlap(&[(1, 0, 3), (1, 2, 2)], true)]
+#[case::missing_start(&[(1, 3, 2)], false)]
+#[case::gap(&[(1, 0, 3), (1, 4, 2)], false)]
+#[case::other_chain(&[(1, 0, 3), (2, 3, 2)], false)]
+#[case::longer_chain(&[(1, 0, 3), (2, 0, 5)], true)]
+#[case::shorter_chain(&[(1, 0, 3), (2, 0, 2)], false)]
+#[case::continued_rejected_chain(&[(1, 0, 3), (2, 0, 2), (2, 2, 4)], false)]
+fn updates_that_do_not_continue_the_replica_are_rejected(
     #[case] sent: &[(u64, usize, usize)],
-    #[case] last_is_kept: bool,
+    #[case] last_is_merged: bool,
 ) {
     let table = CheckpointTable::default();
-    let kept = sent.iter().map(|(c, s, e)| table.merge(update(*c, *s, *e)));
-    assert_eq!(kept.last(), Some(last_is_kept));
+    let merged = sent.iter().map(|(c, s, e)| table.merge(update(*c, *s, *e)));
+    assert_eq!(merged.last(), Some(last_is_merged));
 }
 
 #[test]
-fn what_is_kept_is_bounded() {
+fn replica_size_is_bounded() {
     let table = CheckpointTable::default();
     for n in 0..40 {
         let mut job = update(1, 0, 1);
-        job.job = format!("job-{n}").parse().expect("a name");
+        job.job = format!("job-{n}").parse().expect("valid job identifier");
         job.items[0].events = vec!["x".repeat(1 << 20)];
         table.merge(job);
     }
     table.trim();
     assert!(table.len() < 8, "{} jobs of a megabyte each", table.len());
-    table.forget(&"job-39".parse().expect("a name"));
+    table.forget(&"job-39".parse().expect("valid job identifier"));
     assert!(!table.is_empty());
 }
 
@@ -67,7 +68,7 @@
         body: bytes::Bytes::new(),
     };
     let record = job_records::JobRecord {
-        id: "job-1".parse().expect("a name"),
+        id: "job-1".parse().expect("valid job identifier"),
         workspace: None,
         host: "h".into(),
         submitted_ms: 1,
@@ -77,8 +78,9 @@
     let table = job_table::JobTable::default();
     let shared = table.get_or_insert(record, None);
     let mut job = shared.borrow_mut();
-    // A run goes on from the disk, while another process goes on from the same
-    // checkpoint and is further: its chain has the same name.
+    // One run resumes from the disk while another process resumes from the same
+    // checkpoint and advances further. Both chains had the same identifier, so the
+    // events of both runs ended up in one output.
     let from_disk = update(7, 0, 10).items.remove(0);
     assert!(job.resume_from(from_disk));
     job.items[0].phase = open_job::ItemPhase::Running;
@@ -86,12 +88,15 @@
     let mut further = update(7, 0, 30).items.remove(0);
     further.chain = first;
     assert!(job.resume_from(further));
-    // The next run begins before the first one has noticed.
+    // The next run starts before the first run has noticed that it was replaced.
     job.items[0].phase = open_job::ItemPhase::Running;
-    assert!(!job.items[0].is_run_by(first), "two runs would add events");
+    assert!(
+        !job.items[0].is_run_by(first),
+        "two runs would append events"
+    );
     assert!(job.items[0].is_run_by(job.items[0].chain()));
     assert_ne!(
         first, 7,
-        "what goes on from a checkpoint is a chain of its own"
+        "resuming from a checkpoint must start a new chain"
     );
 }
--- a/tests/progress_transfer.rs
+++ b/tests/progress_transfer.rs
@@ -1,4 +1,4 @@
-//! Progress of a job that comes in parts: late, again, out of order, or not at all.
+//! Tests of progress that arrives in parts: repeated, out of order or invalid.
 
 use std::time;
 
@@ -7,7 +7,7 @@
     progress_transfer::{self, PartOutcome, ProgressInbox},
 };
 
-/// Progress of some 40 KB.
+/// Creates progress of about 40 KB.
 fn progress(job: &str) -> JobCheckpoint {
     let items = (0..4).map(|index| ItemCheckpoint {
         index,
@@ -20,29 +20,31 @@
         spent: time::Duration::ZERO,
     });
     JobCheckpoint {
-        job: job.parse().expect("a name"),
+        job: job.parse().expect("valid job identifier"),
         items: items.collect(),
     }
 }
 
 #[test]
-fn parts_that_come_twice_make_the_progress_whole() {
-    let whole = progress("job-1");
-    let parts = progress_transfer::split(&whole).expect("it is encoded");
+fn repeated_parts_complete_the_transfer() {
+    let complete = progress("job-1");
+    let parts = progress_transfer::split(&complete).expect("failed to encode the progress");
     assert!(parts.len() > 3, "{} parts", parts.len());
     let mut inbox = ProgressInbox::default();
-    let (last, first) = parts.split_last().expect("there are some");
+    let (last, first) = parts.split_last().expect("no parts");
     for part in first {
         assert_eq!(inbox.receive(part.clone()), PartOutcome::Partial);
         assert_eq!(inbox.receive(part.clone()), PartOutcome::Partial);
     }
-    assert_eq!(inbox.receive(last.clone()), PartOutcome::Whole(whole));
+    assert_eq!(inbox.receive(last.clone()), PartOutcome::Whole(complete));
 }
 
 #[test]
-fn parts_of_two_transfers_are_never_joined() {
-    let parts = progress_transfer::split(&progress("job-1")).expect("it is encoded");
-    let others = progress_transfer::split(&progress("job-1")).expect("it is encoded");
+fn parts_of_different_transfers_are_never_combined() {
+    let parts =
+        progress_transfer::split(&progress("job-1")).expect("failed to encode the progress");
+    let others =
+        progress_transfer::split(&progress("job-1")).expect("failed to encode the progress");
     let mut inbox = ProgressInbox::default();
     assert_eq!(inbox.receive(parts[0].clone()), PartOutcome::Partial);
     assert_eq!(inbox.receive(others[1].clone()), PartOutcome::Unfit);
@@ -50,14 +52,15 @@
 }
 
 #[test]
-fn what_claims_too_much_or_cannot_be_read_is_refused() {
-    let mut parts = progress_transfer::split(&progress("job-1")).expect("it is encoded");
+fn oversized_or_undecodable_parts_are_rejected() {
+    let mut parts =
+        progress_transfer::split(&progress("job-1")).expect("failed to encode the progress");
     let mut inbox = ProgressInbox::default();
-    let mut unreadable = parts.remove(0);
-    let mut large = unreadable.clone();
-    large.total = usize::MAX;
-    assert_eq!(inbox.receive(large), PartOutcome::Unfit);
-    unreadable.bytes = vec![0xff; 16];
-    unreadable.total = 16;
-    assert_eq!(inbox.receive(unreadable), PartOutcome::Unfit);
+    let mut undecodable = parts.remove(0);
+    let mut oversized = undecodable.clone();
+    oversized.total = usize::MAX;
+    assert_eq!(inbox.receive(oversized), PartOutcome::Unfit);
+    undecodable.bytes = vec![0xff; 16];
+    undecodable.total = 16;
+    assert_eq!(inbox.receive(undecodable), PartOutcome::Unfit);
 }
