--- a/src/serving/checkpoint_file.rs
+++ b/src/serving/checkpoint_file.rs
@@ -1,7 +1,7 @@
 //! Checkpoint file on the instance's disk, read at the next start of the process.
 //!
 //! The file is a cache. A dedicated thread writes it in the background, it is read once
-//! at startup, and it is discarded as a whole if any part of it is doubtful. A slow,
+//! at startup, and it is discarded as a whole if any part of it is invalid. A slow,
 //! full, failing or empty disk loses the file but never blocks job processing.
 
 use std::{
@@ -74,9 +74,7 @@
         }
         match self.sender.try_send(jobs) {
             Ok(()) => self.was_empty.set(is_empty),
-            Err(_) => {
-                log::debug!("event=progress_skipped why=\"the previous write is still queued\"")
-            }
+            Err(_) => log::debug!("event=progress_skipped why=\"a write is still queued\""),
         }
     }
 }
--- a/src/serving/item_run.rs
+++ b/src/serving/item_run.rs
@@ -378,18 +378,18 @@
 /// Returns an error for anything that cannot be forwarded unchanged, since a request is
 /// never modified.
 pub fn parse_item(item: &wire::JobItem) -> Result<(actix_http::Uri, wire::HeaderMap), String> {
-    let unreadable = |what: &str| format!("item {}: invalid {what}", item.id);
+    let invalid = |what: &str| format!("item {}: invalid {what}", item.id);
     let uri = actix_http::Uri::try_from(item.path.as_str());
-    let uri = uri.map_err(|_| unreadable("path"))?;
+    let uri = uri.map_err(|_| invalid("path"))?;
     if !item.path.starts_with('/') {
-        return Err(unreadable("path"));
+        return Err(invalid("path"));
     }
     let mut headers = wire::HeaderMap::new();
     for (name, value) in &item.headers {
         let header = actix_http::header::HeaderName::try_from(name.as_str());
-        let header = header.map_err(|_| unreadable("header name"))?;
+        let header = header.map_err(|_| invalid("header name"))?;
         let value = actix_http::header::HeaderValue::try_from(value.as_str());
-        let value = value.map_err(|_| unreadable("header value"))?;
+        let value = value.map_err(|_| invalid("header value"))?;
         headers.append(header, value);
     }
     Ok((uri, headers))
--- a/src/serving/job_checkpoints.rs
+++ b/src/serving/job_checkpoints.rs
@@ -4,7 +4,7 @@
 //! start over. The owner of a job therefore sends its progress to the process that
 //! would own the job next, and writes it to its instance's disk if it has one.
 //! Checkpoints are only hints: results count once they are in the store, and a
-//! checkpoint that is lost, late or doubtful costs nothing but a repeated run.
+//! checkpoint that is lost, late or invalid costs nothing but a repeated run.
 
 use std::{cell, collections, rc, time};
 
--- a/src/serving/job_upkeep.rs
+++ b/src/serving/job_upkeep.rs
@@ -10,12 +10,12 @@
 /// gateways that accepted the jobs hand most of them off in the meantime.
 const ADOPTION_DELAY: time::Duration = time::Duration::from_millis(700);
 
-/// Process age from which the store is searched even if not all listed dispatchers have
-/// been heard from. Searching earlier would run their jobs a second time, unless those
-/// dispatchers are lost.
+/// Process age from which the store is searched even if some listed dispatchers have not
+/// responded to this process. Searching earlier would run their jobs a second time,
+/// unless they are lost.
 const STARTUP_TIMEOUT: time::Duration = time::Duration::from_millis(1500);
 
-/// Interval at which a new process checks whether it receives from all dispatchers.
+/// Interval at which a new process checks whether all dispatchers have responded.
 const STARTUP_POLL_INTERVAL: time::Duration = time::Duration::from_millis(25);
 
 /// Delay before a retry after the store did not respond.
--- a/src/serving/open_job.rs
+++ b/src/serving/open_job.rs
@@ -375,6 +375,8 @@
         true
     }
 
+    /// Returns the committed results from a position on, up to `PAGE_BYTES` but at least
+    /// one if there is any.
     pub(super) fn page(&self, after: usize) -> wire::ResultPage {
         let mut bytes = 0;
         let rest = self.committed.iter().skip(after);
@@ -391,12 +393,15 @@
         }
     }
 
+    /// Estimates the memory that the bodies and committed results take, in bytes.
     pub(super) fn bytes(&self) -> usize {
         let bodies = self.record.items.iter().map(|i| i.body.len() + 300);
         let results = self.committed.iter().map(|r| r.output.len() + 100);
         bodies.sum::<usize>() + results.sum::<usize>()
     }
 
+    /// Returns the next part to commit: pending results up to `PART_BYTES`, at least one if
+    /// there is any.
     pub(super) fn next_part(&self) -> job_records::ResultPart {
         let mut bytes = 0;
         let fitting = self.pending.iter().take_while(|result| {
