--- a/src/serving/mod.rs
+++ b/src/serving/mod.rs
@@ -10,6 +10,7 @@
 
 pub mod attempt;
 pub mod attempt_flow;
+pub mod borrowed_slots;
 pub mod caller_handler;
 mod caller_socket;
 pub mod checkpoint_file;
@@ -26,14 +27,13 @@
 pub mod fleet_source;
 pub mod item_run;
 pub mod job_acceptance;
-pub mod job_board;
 pub mod job_calls;
 pub mod job_checkpoints;
 pub mod job_records;
 pub mod job_runner;
-pub mod job_sponsor;
+pub mod job_supervisor;
+pub mod job_table;
 pub mod job_upkeep;
-pub mod lent_slots;
 mod limit_links;
 pub mod listener;
 pub mod members;
--- a/src/serving/owners.rs
+++ b/src/serving/owners.rs
@@ -44,7 +44,7 @@
     if id == context.id() {
         let was_retiring = context.retiring.replace(true);
         return was_retiring
-            && context.jobs.is_handed_back()
+            && context.jobs.is_drained()
             && context.permits.borrow().is_empty();
     }
     let is_lost = context.members.borrow().is_lost(id, context.clock.now());
@@ -169,7 +169,7 @@
         refresh_owned(context);
     }
     if changed {
-        job_checkpoints::hand_over_moved(context);
+        job_checkpoints::hand_off_moved(context);
         context.jobs.owners_changed.notify_one();
     }
 }
