--- a/src/serving/context.rs
+++ b/src/serving/context.rs
@@ -54,8 +54,8 @@
     pub tolerance: rate_limit::LimitTolerance,
 }
 
-/// The borders of a process.
-pub struct ProcessBorders {
+/// The adapters of a process.
+pub struct ProcessAdapters {
     /// The words of the wire.
     pub wire: rc::Rc<dyn wire::WireAdapter>,
     /// The store.
@@ -168,10 +168,10 @@
     /// The state of a process that begins.
     pub(super) fn new(
         options: ProcessOptions,
-        borders: ProcessBorders,
+        adapters: ProcessAdapters,
         progress: KeptProgress,
     ) -> Self {
-        let begun = borders.clock.now();
+        let begun = adapters.clock.now();
         let pools =
             token_pools::PoolTable::new(options.member.id.clone(), options.tolerance, begun);
         let run = ids::InstanceRun {
@@ -180,12 +180,12 @@
         };
         Self {
             run,
-            fleet: rc::Rc::new(fleet_model::FleetModel::new(borders.clock.clone())),
+            fleet: rc::Rc::new(fleet_model::FleetModel::new(adapters.clock.clone())),
             options,
-            wire: borders.wire,
-            store: borders.store,
-            source: borders.source,
-            clock: borders.clock,
+            wire: adapters.wire,
+            store: adapters.store,
+            source: adapters.source,
+            clock: adapters.clock,
             metrics: metrics::MetricSet::default(),
             pool: connection_pool::ConnectionPool::default(),
             loads: cell::RefCell::default(),
--- a/src/serving/process.rs
+++ b/src/serving/process.rs
@@ -22,12 +22,12 @@
 /// An address cannot be bound.
 pub async fn run(
     options: context::ProcessOptions,
-    borders: context::ProcessBorders,
+    adapters: context::ProcessAdapters,
     mut stop: mpsc::Receiver<()>,
 ) -> io::Result<()> {
     let calls = peer_server::serve(options.internal)?;
     let progress = open_checkpoints(&options);
-    let context = rc::Rc::new(context::ProcessContext::new(options, borders, progress));
+    let context = rc::Rc::new(context::ProcessContext::new(options, adapters, progress));
     log::info!(
         "event=started instance={} role={:?} domain={}",
         context.id(),
