--- a/src/serving/attempt_flow.rs
+++ b/src/serving/attempt_flow.rs
@@ -315,14 +315,14 @@
 
     /// Has it found out whether the endpoint of a broken attempt ended.
     fn watch_end(&self, slot: &slots::HeldSlot, has_head: bool) {
-        let run = crash_watch::CutRun {
+        let run = crash_watch::InterruptedRun {
             digest: self.request.forwarded.digest,
             id: self.request.terms.id.clone().unwrap_or_default(),
             endpoint: slot.endpoint.clone(),
             begun: slot.taken(),
             has_head,
         };
-        crash_watch::begin(&self.context, run);
+        crash_watch::start(&self.context, run);
     }
 
     /// One line and one count for an attempt that gave no answer.
--- a/src/serving/context.rs
+++ b/src/serving/context.rs
@@ -1,4 +1,4 @@
-//! What all parts of a process share.
+//! State that all parts of a process share.
 
 use std::{cell, collections, net, num, path, rc, sync, time};
 
@@ -19,74 +19,74 @@
     ids, metrics, store,
 };
 
-/// Kind of the records in which processes show themselves.
+/// Kind of the records in the store with which processes announce themselves.
 pub const MEMBER_KIND: &str = "members";
 
-/// Places asked for on behalf of peers that are remembered until their release.
-const MAX_RELAYED: num::NonZeroUsize = num::NonZeroUsize::new(4096).expect("it is not zero");
+/// Maximum number of slots requested on behalf of peers that are tracked until their release.
+const MAX_RELAYED_SLOTS: num::NonZeroUsize = num::NonZeroUsize::new(4096).expect("it is not zero");
 
-/// Part of the grace after which a stopping process refuses new requests: those
-/// that it takes must end before the grace does.
-const REFUSE_SHARE: f64 = 0.35;
+/// Fraction of the grace period after which a stopping process refuses new requests, so
+/// that those it has accepted end within the period.
+const REFUSE_AFTER_FRACTION: f64 = 0.35;
 
-/// Age up to which heartbeats are told again: a process of a large fleet is
-/// probed some hundred times a second.
-const HELLO_AGE: time::Duration = time::Duration::from_millis(20);
+/// Age up to which a heartbeat is reused: a process of a large fleet is probed some
+/// hundred times a second.
+const HEARTBEAT_MAX_AGE: time::Duration = time::Duration::from_millis(20);
 
-/// How a process is run.
+/// Options of a process.
 #[derive(Debug, Clone)]
 pub struct ProcessOptions {
-    /// How it shows itself to its peers.
+    /// Record with which the process announces itself to its peers.
     pub member: members::MemberRecord,
-    /// Where it listens for its peers.
+    /// Listen address for peers.
     pub internal: net::SocketAddr,
-    /// Where callers connect, if they do.
+    /// Listen address for callers, if it serves any.
     pub front: Option<net::SocketAddr>,
-    /// Where readiness is asked for, if it is.
+    /// Listen address for readiness checks, if there are any.
     pub readiness: Option<net::SocketAddr>,
-    /// Where metrics are served, if they are.
+    /// Listen address for the metrics page, if it is served.
     pub metrics: Option<net::SocketAddr>,
-    /// Time from the request to stop to the end, at most.
+    /// Grace period: the longest time from the stop signal to the end of the process.
     pub grace: time::Duration,
-    /// Folder on the instance's disk, if it has one.
+    /// Directory on the instance's disk, if it has one.
     pub data_folder: Option<path::PathBuf>,
-    /// How far windows of requests may lie above the limits of workspaces.
+    /// Tolerance by which request counts may exceed the limits of workspaces.
     pub tolerance: rate_limit::LimitTolerance,
 }
 
-/// The adapters of a process.
+/// Implementations of the interfaces between a process and its platform.
 pub struct ProcessAdapters {
-    /// The words of the wire.
+    /// Wire format.
     pub wire: rc::Rc<dyn wire::WireAdapter>,
-    /// The store.
+    /// Object store.
     pub store: sync::Arc<dyn store::ObjectStore>,
-    /// Where views come from.
+    /// Source of the desired state and the endpoint list.
     pub source: rc::Rc<dyn fleet_source::FleetSource>,
-    /// The clock.
+    /// Monotonic clock.
     pub clock: sync::Arc<dyn clock::MonotonicClock>,
 }
 
-/// Progress of jobs that the process before this one kept on disk.
-pub(super) struct KeptProgress {
-    /// The progress.
+/// Job progress restored from the checkpoint file of the previous process.
+pub(super) struct RestoredProgress {
+    /// Restored progress by job.
     pub(super) board: job_checkpoints::CheckpointBoard,
-    /// Where it is kept on, on an instance with a disk.
+    /// File for further checkpoints, if the instance has a disk.
     pub(super) file: Option<checkpoint_file::CheckpointFile>,
 }
 
-/// What all parts of a process share.
+/// State that all parts of a process share.
 pub struct ProcessContext {
-    /// This run of the process.
+    /// Identity of this run of the process.
     pub run: ids::InstanceRun,
-    /// How it is run.
+    /// Options of the process.
     pub options: ProcessOptions,
-    /// The words of the wire.
+    /// Wire format.
     pub wire: rc::Rc<dyn wire::WireAdapter>,
-    /// The store.
+    /// Object store.
     pub store: sync::Arc<dyn store::ObjectStore>,
-    /// Where views come from.
+    /// Source of the desired state and the endpoint list.
     pub source: rc::Rc<dyn fleet_source::FleetSource>,
-    /// The clock.
+    /// Monotonic clock.
     pub clock: sync::Arc<dyn clock::MonotonicClock>,
     /// Counters and histograms.
     pub metrics: metrics::MetricSet,
@@ -94,86 +94,87 @@
     pub fleet: rc::Rc<fleet_model::FleetModel>,
     /// Idle connections to endpoints.
     pub pool: connection_pool::ConnectionPool,
-    /// Loads and health of endpoints.
+    /// Load and health of endpoints.
     pub loads: cell::RefCell<selection::LoadBoard>,
-    /// The other processes.
+    /// Table of the other processes.
     pub members: cell::RefCell<members::MemberTable>,
-    /// Links to them.
+    /// Links to the other processes.
     pub links: peer_links::PeerLinks,
-    /// Places at owned endpoints.
+    /// Slots of owned endpoints.
     pub permits: cell::RefCell<permits::PermitBoard>,
     /// Jobs that are run or read here.
     pub jobs: job_board::JobBoard,
     /// Progress of jobs that other processes run.
     pub checkpoints: job_checkpoints::CheckpointBoard,
-    /// Progress of jobs that run here, on its way to peers.
+    /// Progress of jobs that run here, queued for transfer to peers.
     pub(super) progress_queue: progress_transfer::ProgressQueue,
-    /// Where the progress of jobs that run here goes, on an instance with a disk.
+    /// Checkpoint file for the progress of jobs that run here, if the instance has a disk.
     pub(super) checkpoint_file: Option<checkpoint_file::CheckpointFile>,
-    /// Who may own endpoints and jobs now.
+    /// Processes that may currently own endpoints and jobs.
     pub(super) owners: cell::RefCell<rc::Rc<Vec<ownership::OwnerCandidate>>>,
-    /// Places that owners said they could give.
+    /// Numbers of free slots that owners have reported.
     pub free_slots: cell::RefCell<collections::HashMap<(ids::InstanceId, ids::ServiceName), u32>>,
-    /// How soon first events of a service come.
-    pub firsts: cell::RefCell<collections::HashMap<ids::ServiceName, queue_limit::FirstEstimate>>,
-    /// What it said of itself last, and when.
-    last_hello: cell::RefCell<Option<(clock::MonotonicTime, peers::PeerHello)>>,
-    /// Change of the list of endpoints up to which it is worked out what is owned.
-    pub(super) owned_at: cell::Cell<Option<u64>>,
-    /// Whether the members were read from the store.
+    /// Estimates of the time to the first event by service.
+    pub first_estimates:
+        cell::RefCell<collections::HashMap<ids::ServiceName, queue_limit::FirstEstimate>>,
+    /// Latest heartbeat of this process, and the time at which it was built.
+    cached_heartbeat: cell::RefCell<Option<(clock::MonotonicTime, peers::PeerHello)>>,
+    /// Change number of the endpoint list for which ownership was last computed.
+    pub(super) owned_change_number: cell::Cell<Option<u64>>,
+    /// Whether the member records have been read from the store.
     pub(super) members_known: cell::Cell<bool>,
-    /// Told when records of members were learned.
-    pub(super) members_news: tokio::sync::Notify,
-    /// When a peer was asked for the members.
-    pub(super) members_asked: cell::Cell<Option<clock::MonotonicTime>>,
-    /// Requests that crash endpoints.
+    /// Notified when member records were received.
+    pub(super) members_updated: tokio::sync::Notify,
+    /// Time of the last request to a peer for the member records.
+    pub(super) members_requested_at: cell::Cell<Option<clock::MonotonicTime>>,
+    /// Record of requests that crash endpoints.
     pub(super) crashes: crash_guard::CrashGuard,
-    /// Desired states on their way from and to peers.
+    /// Transfers of desired states from and to peers.
     pub(super) state_transfer: state_transfer::StateTransfer,
-    /// Whether a peer is being asked for its list of endpoints.
-    pub(super) list_flight: single_flight::SingleFlight,
-    /// Owners of places that were asked for on behalf of a peer that is cut off.
-    pub relayed: cell::RefCell<lru::LruCache<admission::PermitNumber, net::SocketAddr>>,
-    /// Whether this instance is to be emptied.
+    /// Guard that allows one request at a time for a peer's endpoint list.
+    pub(super) list_request: single_flight::SingleFlight,
+    /// Addresses of the owners of slots requested on behalf of a peer that cannot reach them.
+    pub relayed_slots: cell::RefCell<lru::LruCache<admission::PermitNumber, net::SocketAddr>>,
+    /// Whether this instance is being retired.
     pub(super) retiring: cell::Cell<bool>,
-    /// When the process was asked to stop.
-    pub(super) stop_begun: cell::Cell<Option<clock::BootInstant>>,
-    /// When the process began.
-    pub(super) begun: clock::MonotonicTime,
-    /// Since when a peer has had a newer list of endpoints, and the own number of it then.
+    /// Time at which the process was asked to stop.
+    pub(super) stop_started_at: cell::Cell<Option<clock::BootInstant>>,
+    /// Start time of the process.
+    pub(super) started_at: clock::MonotonicTime,
+    /// Time since which a peer has had a newer endpoint list, and the own change number then.
     pub(super) differing_since: cell::Cell<Option<(clock::MonotonicTime, u64)>>,
-    /// Counts the times that the machine was suspended.
-    pub(super) wakes: watch::Sender<u64>,
+    /// Number of suspensions of the machine.
+    pub(super) suspensions: watch::Sender<u64>,
     /// Whether the process was asked to stop.
     pub stopping: watch::Sender<bool>,
-    /// Requests of callers under way.
+    /// Number of callers' requests in progress.
     pub active: cell::Cell<usize>,
-    /// Tokens for the requests of workspaces with limits.
+    /// Rate limiter for the requests of workspaces.
     pub limiter: limiter::Limiter,
-    /// Pools of such tokens that this process keeps.
+    /// Token pools of this process as a quota server.
     pub pools: cell::RefCell<token_pools::PoolTable>,
-    /// The own share of all limits, as far as it is not deposited.
+    /// Share of this process in all limits that is not deposited yet.
     pub(super) shares: cell::RefCell<share_clock::ShareClock>,
-    /// The latest stamps of peers, and their runs.
+    /// Latest clock stamps of peers.
     pub(super) stamps: cell::RefCell<PeerStamps>,
-    /// Connections of callers on which a part of an answer waits to be sent.
-    pub(super) waiting_answers: rc::Rc<cell::Cell<usize>>,
+    /// Number of callers' connections with response data that is not sent yet.
+    pub(super) unsent_responses: rc::Rc<cell::Cell<usize>>,
 }
 
-/// The latest stamp of each peer, and its run.
+/// Run and latest clock stamp of each peer.
 type PeerStamps =
     collections::HashMap<ids::InstanceId, (ids::RunNumber, limit_messages::ClockStamp)>;
 
 impl ProcessContext {
-    /// The state of a process that begins.
+    /// Creates the state of a starting process.
     pub(super) fn new(
         options: ProcessOptions,
         adapters: ProcessAdapters,
-        progress: KeptProgress,
+        progress: RestoredProgress,
     ) -> Self {
-        let begun = adapters.clock.now();
+        let started_at = adapters.clock.now();
         let pools =
-            token_pools::PoolTable::new(options.member.id.clone(), options.tolerance, begun);
+            token_pools::PoolTable::new(options.member.id.clone(), options.tolerance, started_at);
         let run = ids::InstanceRun {
             instance: options.member.id.clone(),
             run: ids::RunNumber::random(),
@@ -198,113 +199,114 @@
             checkpoint_file: progress.file,
             owners: cell::RefCell::default(),
             free_slots: cell::RefCell::default(),
-            firsts: cell::RefCell::default(),
-            last_hello: cell::RefCell::default(),
-            owned_at: cell::Cell::new(None),
+            first_estimates: cell::RefCell::default(),
+            cached_heartbeat: cell::RefCell::default(),
+            owned_change_number: cell::Cell::new(None),
             members_known: cell::Cell::new(false),
-            members_news: tokio::sync::Notify::new(),
-            members_asked: cell::Cell::new(None),
+            members_updated: tokio::sync::Notify::new(),
+            members_requested_at: cell::Cell::new(None),
             limiter: limiter::Limiter::default(),
             pools: cell::RefCell::new(pools),
             shares: cell::RefCell::default(),
             stamps: cell::RefCell::default(),
             crashes: crash_guard::CrashGuard::default(),
             state_transfer: state_transfer::StateTransfer::default(),
-            list_flight: single_flight::SingleFlight::default(),
-            relayed: cell::RefCell::new(lru::LruCache::new(MAX_RELAYED)),
+            list_request: single_flight::SingleFlight::default(),
+            relayed_slots: cell::RefCell::new(lru::LruCache::new(MAX_RELAYED_SLOTS)),
             retiring: cell::Cell::new(false),
-            stop_begun: cell::Cell::new(None),
-            begun,
+            stop_started_at: cell::Cell::new(None),
+            started_at,
             differing_since: cell::Cell::new(None),
-            wakes: watch::Sender::new(0),
+            suspensions: watch::Sender::new(0),
             stopping: watch::Sender::new(false),
             active: cell::Cell::new(0),
-            waiting_answers: rc::Rc::default(),
+            unsent_responses: rc::Rc::default(),
         }
     }
 
-    /// The owners of endpoints and jobs.
+    /// Returns the owners of endpoints and jobs.
     pub fn owners(&self) -> rc::Rc<Vec<ownership::OwnerCandidate>> {
         self.owners.borrow().clone()
     }
 
-    /// The name of this process.
+    /// Returns the instance ID of this process.
     pub fn id(&self) -> &ids::InstanceId {
         &self.options.member.id
     }
 
-    /// Its failure domain.
+    /// Returns the failure domain of this process.
     pub fn domain(&self) -> &ids::DomainName {
         &self.options.member.domain
     }
 
-    /// Whether it was asked to stop.
+    /// Returns whether the process was asked to stop.
     pub fn is_stopping(&self) -> bool {
         *self.stopping.borrow()
     }
 
-    /// Whether it hands its work back, for a stop or as the instance is to be emptied.
+    /// Returns whether the process is draining, for a stop or because its instance is retired.
     pub fn is_leaving(&self) -> bool {
         self.is_stopping() || self.retiring.get()
     }
 
-    /// Whether new requests are refused, as they might not end before the process does.
+    /// Returns whether new requests are refused because they might outlast the process.
     pub fn refuses_requests(&self) -> bool {
-        let refuse_after = self.options.grace.mul_f64(REFUSE_SHARE);
-        let begun = self.stop_begun.get();
-        begun.is_some_and(|begun| begun.elapsed() > refuse_after)
+        let refuse_after = self.options.grace.mul_f64(REFUSE_AFTER_FRACTION);
+        let started_at = self.stop_started_at.get();
+        started_at.is_some_and(|started_at| started_at.elapsed() > refuse_after)
     }
 
-    /// Whether new connections are welcome.
+    /// Returns whether the process is ready for new connections.
     pub fn is_ready(&self) -> bool {
         !self.is_stopping() && self.fleet.is_known()
     }
 
-    /// Whether no request is under way, and no answer waits for a slow caller.
+    /// Returns whether no request is in progress and all response data has been sent.
     pub(super) fn is_idle(&self) -> bool {
-        self.active.get() == 0 && self.waiting_answers.get() == 0
+        self.active.get() == 0 && self.unsent_responses.get() == 0
     }
 
-    /// How long the process has run.
+    /// Returns the time since the start of the process.
     pub fn age(&self) -> time::Duration {
-        self.clock.now().since(self.begun)
+        self.clock.now().since(self.started_at)
     }
 
-    /// Whether a process answers this process itself.
+    /// Returns whether a peer's heartbeats reach this process directly.
     pub fn receives_from(&self, id: &ids::InstanceId) -> bool {
         self.members.borrow().receives_from(id, self.clock.now())
     }
 
-    /// Gateways through which a process that is cut off reaches the owners.
+    /// Returns the gateways that relay to the owners while this process cannot reach them.
     pub fn relays(&self) -> Vec<members::MemberRecord> {
         self.members.borrow().relays(self.clock.now())
     }
 
-    /// The owner of a job among the live processes.
+    /// Returns the live process that owns a job, if there is any.
     pub fn job_owner(&self, job: &ids::JobId) -> Option<ids::InstanceId> {
         let owners = self.owners();
-        let best = owners
+        let owner = owners
             .iter()
             .max_by_key(|c| ownership::weight(c.id.as_str(), job.as_str()));
-        best.map(|c| c.id.clone())
+        owner.map(|c| c.id.clone())
     }
 
-    /// What it says of itself at each probe; made anew when it is some milliseconds old.
-    pub fn hello(&self) -> peers::PeerHello {
+    /// Returns the heartbeat of this process, which is rebuilt once it is some
+    /// milliseconds old.
+    pub fn heartbeat(&self) -> peers::PeerHello {
         let now = self.clock.now();
-        if let Some((at, hello)) = &*self.last_hello.borrow() {
-            if now.since(*at) < HELLO_AGE && hello.leaving == self.is_leaving() {
-                return hello.clone();
+        if let Some((at, heartbeat)) = &*self.cached_heartbeat.borrow() {
+            if now.since(*at) < HEARTBEAT_MAX_AGE && heartbeat.leaving == self.is_leaving() {
+                return heartbeat.clone();
             }
         }
-        let hello = self.make_hello(now);
-        *self.last_hello.borrow_mut() = Some((now, hello.clone()));
-        hello
+        let heartbeat = self.build_heartbeat(now);
+        *self.cached_heartbeat.borrow_mut() = Some((now, heartbeat.clone()));
+        heartbeat
     }
 
-    fn make_hello(&self, now: clock::MonotonicTime) -> peers::PeerHello {
+    fn build_heartbeat(&self, now: clock::MonotonicTime) -> peers::PeerHello {
         let members = self.members.borrow();
-        let heard = members.heard_dispatchers(now);
+        let dispatchers = members.heard_dispatchers(now);
         peers::PeerHello {
             id: self.id().clone(),
             run: self.run.run,
@@ -313,10 +315,10 @@
             version: self.fleet.table().version(),
             revision: self.fleet.revision(),
             digest: self.fleet.digest(),
-            receives_from: heard.iter().map(members::MemberMark::of).collect(),
+            receives_from: dispatchers.iter().map(members::MemberMark::of).collect(),
             follows_store: self.fleet.is_following() && self.members_known.get(),
             members: members.digest(&self.options.member),
-            crashes: self.crashes.number(),
+            crashes: self.crashes.state_digest(),
             free_slots: self.permits.borrow().free_slots(),
             stamp: limit_messages::ClockStamp::of(now),
             deposit: None,
--- a/src/serving/crash_guard.rs
+++ b/src/serving/crash_guard.rs
@@ -1,8 +1,9 @@
-//! Keeps requests back that crash endpoint after endpoint, at all processes.
+//! Quarantines requests that crash one endpoint after another, across all processes.
 //!
-//! Who sees an endpoint end under a request tells the owners at once; the others learn
-//! it from them by the probes, within a quarter of a second. What is held back is in
-//! the store as well, so that it outlives all processes; it is read at the start.
+//! A process that sees an endpoint end during a request notifies the owners at once. The
+//! other processes pull the update from them after a probe, within a quarter of a second.
+//! Quarantined requests are also recorded in the store, so that they outlive a restart of
+//! all processes; the records are read at the start.
 
 use std::{cell, collections, net, rc, time};
 
@@ -13,96 +14,98 @@
     ids, store,
 };
 
-/// Kind of the records of requests that are held back.
-const HELD_KIND: &str = "held-requests";
+/// Kind of the records of quarantined requests in the store.
+const QUARANTINE_KIND: &str = "held-requests";
 
-/// Longest wait for the next bytes of what a peer knows; a round trip takes 1 to 4 ms.
+/// Timeout of the next bytes of a peer's crash updates. A round trip takes 1 to 4 ms.
 const PULL_TIMEOUT: time::Duration = time::Duration::from_millis(500);
 
-/// Pauses between two questions to peers that know something else. A crash is to be
-/// known everywhere within a second; a peer that knows less than this process brings
-/// nothing, and asks in its turn.
-const PULL_PACE: retry::DelayRange = retry::DelayRange {
+/// Backoff between two pulls from peers whose ledger differs. A crash must be known
+/// everywhere within a second. A pull from a peer with an older ledger brings nothing new;
+/// that peer will pull in turn.
+const PULL_BACKOFF: retry::DelayRange = retry::DelayRange {
     first: time::Duration::from_millis(50),
     last: time::Duration::from_millis(500),
 };
 
-/// Pauses between two tries to write a record while the store is away.
-const SAVE_PACE: retry::DelayRange = retry::DelayRange {
+/// Backoff between two attempts to write a record while the store is unavailable.
+const SAVE_BACKOFF: retry::DelayRange = retry::DelayRange {
     first: time::Duration::from_millis(700),
     last: time::Duration::from_secs(10),
 };
 
-/// Tries to write a record, some three minutes in all; others write it at the next crash.
-const SAVE_TRIES: u32 = 20;
+/// Maximum number of attempts to write a record, which take about three minutes in all.
+/// After that, other processes write the record at the next crash.
+const MAX_SAVE_ATTEMPTS: u32 = 20;
 
-/// Time after its start in which a gateway hears a dispatcher that has read the records.
-const PEER_TIME: time::Duration = time::Duration::from_secs(1);
+/// Time after its start within which a gateway receives heartbeats from a dispatcher that
+/// has read the records.
+const PEER_SYNC_TIME: time::Duration = time::Duration::from_secs(1);
 
-/// Pauses before the records are read again, while the store is away.
-const READ_PACE: retry::DelayRange = SAVE_PACE;
+/// Backoff between two attempts to read the records while the store is unavailable.
+const READ_BACKOFF: retry::DelayRange = SAVE_BACKOFF;
 
-/// A request that is held back, as it lies in the store.
+/// Record of a quarantined request in the store.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct HeldRecord {
-    /// Crashes under it.
+pub struct QuarantineRecord {
+    /// Crashes of endpoints during the request.
     pub crashes: collections::BTreeSet<crash_ledger::CrashMark>,
-    /// Of these, those that count no more.
+    /// Crashes of which the request was cleared.
     pub cleared: collections::BTreeSet<crash_ledger::CrashMark>,
-    /// When the last of them ended, in milliseconds since the epoch.
+    /// Time of the last crash, in milliseconds since the epoch.
     pub last_ms: u64,
 }
 
-/// What a process keeps for all this.
+/// Crash ledger of a process, and the state of its exchange with peers and the store.
 #[derive(Default)]
 pub(super) struct CrashGuard {
     ledger: cell::RefCell<crash_ledger::CrashLedger>,
-    /// Requests whose records are on their way to the store.
+    /// Requests whose records are being written to the store.
     saving: cell::RefCell<collections::HashSet<ids::RequestDigest>>,
     flight: single_flight::SingleFlight,
-    /// Answers of peers in a row that brought nothing.
-    fruitless: cell::Cell<u32>,
-    /// When a peer may be asked next.
-    ask_at: cell::Cell<clock::MonotonicTime>,
+    /// Number of consecutive pulls that brought nothing new.
+    empty_pulls: cell::Cell<u32>,
+    /// Earliest time of the next pull from a peer.
+    next_pull_at: cell::Cell<clock::MonotonicTime>,
 }
 
 impl CrashGuard {
-    /// A number that differs for processes that know something else.
-    pub(super) fn number(&self) -> u64 {
+    /// Returns a digest of the ledger, which differs between processes with different ledgers.
+    pub(super) fn state_digest(&self) -> u64 {
         self.ledger.borrow().number()
     }
 
-    /// Whether a request is held back by the crashes so far.
+    /// Returns whether a request is quarantined because of the crashes so far.
     pub(super) fn is_blamed(&self, digest: ids::RequestDigest) -> bool {
         self.ledger.borrow().is_blamed(digest)
     }
 
-    /// Whether any request is held back.
+    /// Returns whether any request is quarantined.
     pub(super) fn has_held(&self) -> bool {
         self.ledger.borrow().has_held()
     }
 
-    /// What is known, for a peer.
-    pub(super) fn copy(&self, now: clock::MonotonicTime) -> Vec<crash_ledger::CrashUpdate> {
+    /// Returns the updates that transfer the whole ledger to a peer.
+    pub(super) fn updates(&self, now: clock::MonotonicTime) -> Vec<crash_ledger::CrashUpdate> {
         self.ledger.borrow().copy(now)
     }
 }
 
-/// The same as [`admit`] for a caller's request, which is judged once it is settled.
+/// Like [`admit`], but waits until the verdict on a caller's request has settled.
 pub(super) async fn admit_settled(
     context: &context::ProcessContext,
     digest: ids::RequestDigest,
     id: &str,
 ) -> crash_ledger::CrashVerdict {
     let now = context.clock.now();
-    let young = context.crashes.ledger.borrow().settles_in(digest, now);
-    if !young.is_zero() {
-        actix_rt::time::sleep(young).await;
+    let settling_time = context.crashes.ledger.borrow().settles_in(digest, now);
+    if !settling_time.is_zero() {
+        actix_rt::time::sleep(settling_time).await;
     }
     admit(context, digest, id)
 }
 
-/// Whether a request may be sent to an endpoint now, or only once as a trial.
+/// Decides whether a request may be sent to an endpoint, or only once as a trial.
 pub(super) fn admit(
     context: &context::ProcessContext,
     digest: ids::RequestDigest,
@@ -116,7 +119,7 @@
     verdict
 }
 
-/// Notes that an endpoint ended under a request, and tells the others.
+/// Records that an endpoint ended during a request, and notifies the owners.
 pub(super) fn record_crash(
     context: &rc::Rc<context::ProcessContext>,
     run: &crash_ledger::CrashedRun,
@@ -124,7 +127,7 @@
     let now = context.clock.now();
     let outcome = context.crashes.ledger.borrow_mut().record_crash(run, now);
     if let crash_ledger::CrashOutcome::Counted(count) = outcome {
-        tell(context, run.digest);
+        notify_owners(context, run.digest);
         if count >= crash_ledger::MAX_CRASHES {
             actix_rt::spawn(save(context.clone(), run.digest));
         }
@@ -132,25 +135,26 @@
     outcome
 }
 
-/// Notes that an endpoint ran a request to its end: it does not crash each that begins it.
+/// Records that an endpoint completed a request, which proves that the request does not
+/// crash every endpoint that starts it.
 pub(super) fn record_served(context: &rc::Rc<context::ProcessContext>, digest: ids::RequestDigest) {
     let now = context.clock.now();
     let mut ledger = context.crashes.ledger.borrow_mut();
-    let was_held = ledger.is_blamed(digest);
+    let was_quarantined = ledger.is_blamed(digest);
     let is_cleared = ledger.record_served(digest, now);
     drop(ledger);
     if !is_cleared {
         return;
     }
-    log::info!("event=request_cleared digest={digest} held={was_held}");
-    tell(context, digest);
-    if was_held {
+    log::info!("event=request_cleared digest={digest} held={was_quarantined}");
+    notify_owners(context, digest);
+    if was_quarantined {
         actix_rt::spawn(save(context.clone(), digest));
     }
 }
 
-/// Tells the owners what is known of a request; the others ask them.
-fn tell(context: &context::ProcessContext, digest: ids::RequestDigest) {
+/// Sends the ledger's entry of a request to the owners. Other processes pull it from them.
+fn notify_owners(context: &context::ProcessContext, digest: ids::RequestDigest) {
     let update = context.crashes.ledger.borrow();
     let Some(update) = update.update_of(digest, context.clock.now()) else {
         return;
@@ -164,76 +168,78 @@
     }
 }
 
-/// Takes what another process knows of a request; says whether it was new.
+/// Applies an update of another process, and returns whether it contained anything new.
 ///
-/// Each of three processes may have seen one crash, and none all three of them: the
-/// owners, who are told of each, write down what is held back by all together.
-pub(super) fn take(
+/// Three crashes may have been seen by three processes, none of which knows of the others.
+/// The owners receive all of them and thus record requests that are quarantined only by
+/// the sum of the crashes.
+pub(super) fn apply_update(
     context: &rc::Rc<context::ProcessContext>,
     update: crash_ledger::CrashUpdate,
 ) -> bool {
     let digest = update.digest;
-    let was_held = context.crashes.is_blamed(digest);
+    let was_quarantined = context.crashes.is_blamed(digest);
     let is_new = merge(context, update);
     let now = context.clock.now();
-    // Who has just started has seen nothing served, and blames what others know better.
+    // A process that has just started has not seen the request succeed and may blame it
+    // wrongly; a process that has seen it exonerates it here.
     if context.crashes.ledger.borrow_mut().exonerate(digest, now) {
-        log::info!("event=request_cleared digest={digest} held={was_held}");
-        tell(context, digest);
+        log::info!("event=request_cleared digest={digest} held={was_quarantined}");
+        notify_owners(context, digest);
     }
-    let is_turned = was_held != context.crashes.is_blamed(digest);
-    if is_turned && is_writer(context) {
+    let has_changed = was_quarantined != context.crashes.is_blamed(digest);
+    if has_changed && is_writer(context) {
         actix_rt::spawn(save(context.clone(), digest));
     }
     is_new
 }
 
-/// Joins what another process, or the store, knows with what is known here; says whether
-/// it was new.
+/// Merges an update of another process or of the store into the ledger, and returns
+/// whether it contained anything new.
 fn merge(context: &context::ProcessContext, update: crash_ledger::CrashUpdate) -> bool {
     let now = context.clock.now();
     let digest = update.digest;
     let mut ledger = context.crashes.ledger.borrow_mut();
-    let was_held = ledger.is_blamed(digest);
+    let was_quarantined = ledger.is_blamed(digest);
     let is_new = ledger.merge(update, now);
-    let is_held = ledger.is_blamed(digest);
-    if was_held != is_held {
+    let is_quarantined = ledger.is_blamed(digest);
+    if was_quarantined != is_quarantined {
         let verdict = ledger.verdict(digest, now);
         log::info!("event=held_elsewhere digest={digest} verdict=\"{verdict}\"");
     }
     is_new
 }
 
-/// Whether this process is one of those that write down what others have seen: a few,
-/// as one may be turned away by the store.
+/// Returns whether this process writes records of crashes that other processes have seen.
+/// Several processes do so, as the store may refuse one of them.
 fn is_writer(context: &context::ProcessContext) -> bool {
     let owners = context.owners();
     let mut writers = owners.iter().take(members::FOLLOWERS);
     writers.any(|owner| owner.id == *context.id())
 }
 
-/// Asks a peer that knows something else for what it knows, at a bounded pace; what else
-/// its heartbeat brings does not wait for it.
-pub(super) fn learn(
+/// Starts to pull the crash updates of a peer whose ledger differs, at a bounded rate.
+/// The pull is a task of its own, so that it does not delay the rest of the heartbeat.
+pub(super) fn pull_from(
     context: &rc::Rc<context::ProcessContext>,
     peer: net::SocketAddr,
-    hello: &peers::PeerHello,
+    heartbeat: &peers::PeerHello,
 ) {
     let guard = &context.crashes;
-    let is_due = context.clock.now() >= guard.ask_at.get();
-    if is_due && hello.crashes != guard.number() {
-        let id = hello.id.clone();
-        actix_rt::spawn(send_request(context.clone(), peer, id));
+    let is_due = context.clock.now() >= guard.next_pull_at.get();
+    if is_due && heartbeat.crashes != guard.state_digest() {
+        let id = heartbeat.id.clone();
+        actix_rt::spawn(pull_updates(context.clone(), peer, id));
     }
 }
 
-async fn send_request(
+async fn pull_updates(
     context: rc::Rc<context::ProcessContext>,
     peer: net::SocketAddr,
     id: ids::InstanceId,
 ) {
     let guard = &context.crashes;
-    let Some(_flight) = guard.flight.begin() else {
+    let Some(_guard) = guard.flight.begin() else {
         return;
     };
     context.links.settle(peer).await;
@@ -241,7 +247,7 @@
         Ok(all) => {
             let new = all
                 .into_iter()
-                .filter(|update| take(&context, update.clone()));
+                .filter(|update| apply_update(&context, update.clone()));
             let count = new.count();
             log::info!("event=crashes_from_peer peer={id} new={count}");
             count > 0
@@ -251,13 +257,18 @@
             false
         }
     };
-    let fruitless = if is_new { 0 } else { guard.fruitless.get() + 1 };
-    guard.fruitless.set(fruitless);
-    let delay = retry::backoff_delay(fruitless, &PULL_PACE, &mut rand::rng());
-    guard.ask_at.set(context.clock.now() + delay);
+    let empty_pulls = if is_new {
+        0
+    } else {
+        guard.empty_pulls.get() + 1
+    };
+    guard.empty_pulls.set(empty_pulls);
+    let delay = retry::backoff_delay(empty_pulls, &PULL_BACKOFF, &mut rand::rng());
+    guard.next_pull_at.set(context.clock.now() + delay);
 }
 
-/// Forgets what is too old; the first owner removes what lies in the store of it.
+/// Removes expired entries from the ledger. The first owner also removes their records
+/// from the store.
 pub(super) fn expire(context: &rc::Rc<context::ProcessContext>) {
     let now = context.clock.now();
     let forgotten = context.crashes.ledger.borrow_mut().expire(now);
@@ -271,23 +282,23 @@
     }
 }
 
-fn key_of(digest: ids::RequestDigest) -> String {
-    format!("{HELD_KIND}/{digest}")
+fn record_key(digest: ids::RequestDigest) -> String {
+    format!("{QUARANTINE_KIND}/{digest}")
 }
 
-/// Writes what is known of a request to the store, with all that came meanwhile.
+/// Writes the record of a request to the store, again if it changes during the write.
 async fn save(context: rc::Rc<context::ProcessContext>, digest: ids::RequestDigest) {
     let saving = &context.crashes.saving;
     if !saving.borrow_mut().insert(digest) {
         return;
     }
     let mut written = None;
-    for earlier in 0..SAVE_TRIES {
+    for attempt in 0..MAX_SAVE_ATTEMPTS {
         let now = context.clock.now();
         let update = context.crashes.ledger.borrow().update_of(digest, now);
         let Some(update) = update else { break };
         let known = (update.crashes.len(), update.cleared.len());
-        // Looked at again, as a crash may have come while the last write was under way.
+        // Another crash may have been recorded during the last write.
         if written == Some(known) {
             break;
         }
@@ -295,7 +306,7 @@
             Ok(()) => written = Some(known),
             Err(e) => {
                 log::info!("event=held_request_unwritten digest={digest} why=\"{e}\"");
-                let delay = retry::backoff_delay(earlier, &SAVE_PACE, &mut rand::rng());
+                let delay = retry::backoff_delay(attempt, &SAVE_BACKOFF, &mut rand::rng());
                 actix_rt::time::sleep(delay).await;
             }
         }
@@ -307,9 +318,9 @@
     context: &context::ProcessContext,
     update: crash_ledger::CrashUpdate,
 ) -> store::StoreResult<()> {
-    let key = key_of(update.digest);
+    let key = record_key(update.digest);
     let age = update.age.as_millis() as u64;
-    let record = HeldRecord {
+    let record = QuarantineRecord {
         crashes: update.crashes,
         cleared: update.cleared,
         last_ms: clock::epoch_ms().saturating_sub(age),
@@ -322,53 +333,53 @@
 
 async fn remove(context: rc::Rc<context::ProcessContext>, digest: ids::RequestDigest) {
     let always = store::WriteCondition::Always;
-    let key = key_of(digest);
+    let key = record_key(digest);
     let removed = context.store.remove(CallClass::Control, &key, always);
     if let Err(e) = removed.await {
         log::info!("event=held_request_left digest={digest} why=\"{e}\"");
     }
 }
 
-/// Reads what the store has from before the start.
+/// Reads the records of quarantined requests from the store at the start.
 ///
-/// Gateways learn it from dispatchers, and read it themselves where there is none.
-pub(super) async fn read_held(context: rc::Rc<context::ProcessContext>) {
+/// Gateways pull them from dispatchers, and read the store only if there is no dispatcher.
+pub(super) async fn read_quarantined(context: rc::Rc<context::ProcessContext>) {
     let is_gateway = context.options.member.role == members::MemberRole::Gateway;
     if is_gateway {
-        actix_rt::time::sleep(PEER_TIME).await;
+        actix_rt::time::sleep(PEER_SYNC_TIME).await;
     }
-    for earlier in 0.. {
+    for attempt in 0.. {
         let now = context.clock.now();
-        let hears_dispatcher = !context.members.borrow().heard_dispatchers(now).is_empty();
-        if is_gateway && hears_dispatcher {
+        let receives_from_dispatcher = !context.members.borrow().heard_dispatchers(now).is_empty();
+        if is_gateway && receives_from_dispatcher {
             return;
         }
-        let prefix = format!("{HELD_KIND}/");
+        let prefix = format!("{QUARANTINE_KIND}/");
         match store::list_all(context.store.as_ref(), &prefix).await {
-            Ok(found) => {
-                log::info!("event=held_requests_listed count={}", found.len());
-                for change in found {
-                    take_record(&context, &prefix, change);
+            Ok(records) => {
+                log::info!("event=held_requests_listed count={}", records.len());
+                for change in records {
+                    apply_record(&context, &prefix, change);
                 }
                 return;
             }
             Err(e) => log::info!("event=held_requests_unread why=\"{e}\""),
         }
-        let delay = retry::backoff_delay(earlier, &READ_PACE, &mut rand::rng());
+        let delay = retry::backoff_delay(attempt, &READ_BACKOFF, &mut rand::rng());
         actix_rt::time::sleep(delay).await;
     }
 }
 
-/// Takes a record of the store; one that cannot be read holds nothing back.
-fn take_record(
+/// Applies a record of the store. An unreadable one is logged and skipped.
+fn apply_record(
     context: &rc::Rc<context::ProcessContext>,
     prefix: &str,
     change: crate::platform::ObjectChange,
 ) {
     let name = change.key.strip_prefix(prefix).unwrap_or(&change.key);
     let Some(value) = change.value else { return };
-    let digest = name.parse().map_err(|e| format!("its name: {e}"));
-    let record = serde_json::from_str::<HeldRecord>(&value).map_err(|e| e.to_string());
+    let digest = name.parse().map_err(|e| format!("invalid name: {e}"));
+    let record = serde_json::from_str::<QuarantineRecord>(&value).map_err(|e| e.to_string());
     match digest.and_then(|digest| Ok((digest, record?))) {
         Ok((digest, record)) => {
             let age_ms = clock::epoch_ms().saturating_sub(record.last_ms);
@@ -378,7 +389,7 @@
                 cleared: record.cleared,
                 age: time::Duration::from_millis(age_ms),
             };
-            // It was served since: nothing hangs on the record any more.
+            // The request has been served since, so the record is obsolete.
             if update.count() < crash_ledger::MAX_CRASHES {
                 actix_rt::spawn(remove(context.clone(), digest));
             }
--- a/src/serving/crash_watch.rs
+++ b/src/serving/crash_watch.rs
@@ -1,48 +1,47 @@
-//! Finds out whether an endpoint ended under a run that was cut.
+//! Detects whether an endpoint ended during a run whose connection broke.
 //!
-//! A connection that breaks says nothing of the endpoint: it may have been reset on
-//! the way. An endpoint has ended if nobody listens at its address any more, or if it
-//! had begun to answer and is listed with another start soon afterwards.
+//! A broken connection alone is no evidence, as it may have been reset on the way. An
+//! endpoint has ended if nothing listens at its address any more, or if it had begun to
+//! respond and is listed with another start time soon afterwards.
 
 use std::{io, rc, time};
 
 use super::{connection, context, crash_guard, directory, endpoint_reports};
 use crate::{clock, decisions::crash_ledger, ids};
 
-/// Longest wait for the connection that asks whether somebody listens. A refusal comes
-/// within a round trip, 1 to 4 ms; an opening packet that was dropped is sent again
-/// after a second, and says nothing.
-const LOOK_TIMEOUT: time::Duration = time::Duration::from_millis(150);
-/// Pause between two looks: a process that ends closes its connections and its
-/// listener one after the other, at once but not in one step.
+/// Timeout of a probe connection. A refusal arrives within a round trip, 1 to 4 ms. A lost
+/// SYN packet is sent again only after a second, so a timeout is no evidence.
+const PROBE_TIMEOUT: time::Duration = time::Duration::from_millis(150);
+/// Interval between two probes: a process that ends closes its connections and its
+/// listener shortly after each other, but not atomically.
 const POLL_INTERVAL: time::Duration = time::Duration::from_millis(50);
-/// Looks at an address. Each costs an endpoint that is well about 1 ms.
-const LOOKS: u32 = 2;
-/// How long an endpoint is watched that may have started again before it was looked at.
-/// Endpoints are back some seconds after a crash, and show themselves within 1.2 s.
-const RESTART_TIME: time::Duration = time::Duration::from_secs(10);
+/// Number of probes of an address. Each costs a healthy endpoint about 1 ms.
+const PROBE_COUNT: u32 = 2;
+/// Time for which to watch for another start of an endpoint that may have restarted before
+/// the first probe. Endpoints are back some seconds after a crash and listed within 1.2 s.
+const RESTART_TIMEOUT: time::Duration = time::Duration::from_secs(10);
 
-/// A run of a request that was cut.
+/// A run of a request whose connection broke.
 #[derive(Debug, Clone)]
-pub(super) struct CutRun {
-    /// The request.
+pub(super) struct InterruptedRun {
+    /// Digest of the request.
     pub(super) digest: ids::RequestDigest,
-    /// Name of this try of it.
+    /// ID of the request in this try.
     pub(super) id: String,
-    /// Where it ran.
+    /// Endpoint that ran the request.
     pub(super) endpoint: rc::Rc<directory::EndpointEntry>,
-    /// When it was sent there.
+    /// Time at which the request was sent to the endpoint.
     pub(super) begun: clock::MonotonicTime,
-    /// Whether the endpoint had begun to answer.
+    /// Whether the head of a response had arrived.
     pub(super) has_head: bool,
 }
 
-/// What shows that an endpoint ended.
+/// Evidence that an endpoint ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum EndEvidence {
-    /// Nobody listens at its address.
+    /// Its address refuses connections.
     Refused,
-    /// It is listed with another start.
+    /// It is listed with another start time.
     StartedAgain,
 }
 
@@ -55,10 +54,10 @@
     }
 }
 
-/// Looks, beside the request, whether the endpoint of a run that was cut has ended.
+/// Starts a task that checks whether the endpoint of an interrupted run has ended.
 ///
-/// One that was leaving, or is not listed, ends as planned.
-pub(super) fn begin(context: &rc::Rc<context::ProcessContext>, run: CutRun) {
+/// An endpoint that was leaving or is not listed ends as planned and is not checked.
+pub(super) fn start(context: &rc::Rc<context::ProcessContext>, run: InterruptedRun) {
     let directory = context.fleet.directory.borrow();
     let is_listed = directory.usable(&run.endpoint.id).is_some();
     drop(directory);
@@ -67,15 +66,15 @@
     }
 }
 
-async fn watch(context: rc::Rc<context::ProcessContext>, run: CutRun) {
+async fn watch(context: rc::Rc<context::ProcessContext>, run: InterruptedRun) {
     let evidence = match has_listener(&run.endpoint).await {
         false => Some(EndEvidence::Refused),
-        // Something else may have taken the connection for an endpoint that was gone.
+        // Without a response, a proxy may have accepted the connection for a dead endpoint.
         true if !run.has_head => None,
         true => {
-            let watching = context.fleet.other_start(&run.endpoint);
-            let seen = tokio::time::timeout(RESTART_TIME, watching).await;
-            seen.is_ok().then_some(EndEvidence::StartedAgain)
+            let restart_future = context.fleet.other_start(&run.endpoint);
+            let restart = tokio::time::timeout(RESTART_TIMEOUT, restart_future).await;
+            restart.is_ok().then_some(EndEvidence::StartedAgain)
         }
     };
     if let Some(evidence) = evidence {
@@ -83,21 +82,25 @@
     }
 }
 
-/// Whether somebody may listen at an endpoint's address.
+/// Returns whether a process may be listening at an endpoint's address.
 async fn has_listener(endpoint: &directory::EndpointEntry) -> bool {
-    for look in 1..=LOOKS {
-        let opened = connection::EndpointConnection::open(endpoint.address, LOOK_TIMEOUT).await;
+    for probe in 1..=PROBE_COUNT {
+        let opened = connection::EndpointConnection::open(endpoint.address, PROBE_TIMEOUT).await;
         if opened.is_err_and(|e| e.kind() == io::ErrorKind::ConnectionRefused) {
             return false;
         }
-        if look < LOOKS {
+        if probe < PROBE_COUNT {
             actix_rt::time::sleep(POLL_INTERVAL).await;
         }
     }
     true
 }
 
-fn record_end(context: &rc::Rc<context::ProcessContext>, run: &CutRun, evidence: EndEvidence) {
+fn record_end(
+    context: &rc::Rc<context::ProcessContext>,
+    run: &InterruptedRun,
+    evidence: EndEvidence,
+) {
     let endpoint = ids::EndpointRun {
         endpoint: run.endpoint.id.clone(),
         started: run.endpoint.started,
@@ -117,7 +120,7 @@
     );
     if evidence == EndEvidence::Refused {
         let observation = endpoint_reports::failure(context, true);
-        let nobody = endpoint_reports::SlotGrantor::Nobody;
-        endpoint_reports::record(context, &run.endpoint, nobody, observation);
+        let grantor = endpoint_reports::SlotGrantor::Nobody;
+        endpoint_reports::record(context, &run.endpoint, grantor, observation);
     }
 }
--- a/src/serving/item_run.rs
+++ b/src/serving/item_run.rs
@@ -113,14 +113,14 @@
     /// An item that gets on is none that ends its endpoints: it runs for seconds, and
     /// is often beside one that does.
     fn record_fruitless(&self, begun: clock::MonotonicTime) {
-        let run = crash_watch::CutRun {
+        let run = crash_watch::InterruptedRun {
             digest: self.digest(),
             id: self.job.borrow().record.items[self.index].id.clone(),
             endpoint: self.endpoint.clone(),
             begun,
             has_head: self.has_head.get(),
         };
-        crash_watch::begin(&self.context, run);
+        crash_watch::start(&self.context, run);
     }
 
     /// Notes how long the run held its place, and at the item's end how long all did.
--- a/src/serving/limit_links.rs
+++ b/src/serving/limit_links.rs
@@ -1,4 +1,4 @@
-//! Carries deposits and requests for tokens between gateways and the keepers of pools.
+//! Transfers deposits and token requests between gateways and quota servers.
 
 use std::{net, rc, time};
 
@@ -15,21 +15,21 @@
     ids,
 };
 
-/// Timeout of a request to a keeper that counts as alive.
-const HEARD_TIMEOUT: time::Duration = members::PEER_SILENCE;
-/// Timeout of a request to a keeper that missed its probes.
+/// Timeout of a request to a quota server that counts as alive.
+const LIVE_TIMEOUT: time::Duration = members::PEER_SILENCE;
+/// Timeout of a request to a quota server whose heartbeats are missing.
 const SILENT_TIMEOUT: time::Duration = time::Duration::from_millis(100);
-/// How long a workspace without requests is remembered.
-const IDLE_SPAN: time::Duration = time::Duration::from_secs(30);
+/// Time after which a workspace without requests is forgotten.
+const IDLE_DURATION: time::Duration = time::Duration::from_secs(30);
 
-/// Draws tokens of the pools through the links of a process.
-pub(super) struct LinkedSource<'a> {
+/// Source that draws tokens from quota servers over the links of a process.
+pub(super) struct LinkTokenSource<'a> {
     context: &'a rc::Rc<context::ProcessContext>,
-    /// Gateways through which keepers are reached, where this process is cut off.
+    /// Gateways that relay to the quota servers while this process cannot reach them.
     relays: Vec<members::MemberRecord>,
 }
 
-impl<'a> LinkedSource<'a> {
+impl<'a> LinkTokenSource<'a> {
     pub(super) fn new(context: &'a rc::Rc<context::ProcessContext>) -> Self {
         Self {
             context,
@@ -38,31 +38,35 @@
     }
 }
 
-impl LinkedSource<'_> {
-    fn is_heard(&self, quota_server: &ids::InstanceId) -> bool {
+impl LinkTokenSource<'_> {
+    fn is_live(&self, quota_server: &ids::InstanceId) -> bool {
         quota_server == self.context.id() || self.context.receives_from(quota_server)
     }
 
-    /// Where a keeper is reached: directly, or through a gateway that hears it.
-    fn way_to(&self, quota_server: &ids::InstanceId) -> Option<(net::SocketAddr, time::Duration)> {
+    /// Returns the address for requests to a quota server, its own or that of a relaying
+    /// gateway, and the timeout.
+    fn route_to(
+        &self,
+        quota_server: &ids::InstanceId,
+    ) -> Option<(net::SocketAddr, time::Duration)> {
         if let Some(relay) = self.relays.first() {
-            return Some((relay.address, HEARD_TIMEOUT));
+            return Some((relay.address, LIVE_TIMEOUT));
         }
         let address = self.context.members.borrow().address_of(quota_server)?;
-        match self.is_heard(quota_server) {
-            true => Some((address, HEARD_TIMEOUT)),
+        match self.is_live(quota_server) {
+            true => Some((address, LIVE_TIMEOUT)),
             false => Some((address, SILENT_TIMEOUT)),
         }
     }
 }
 
-impl limiter::GrantSource for LinkedSource<'_> {
+impl limiter::TokenSource for LinkTokenSource<'_> {
     fn quota_servers(&self, workspace: &ids::WorkspaceId) -> Vec<ids::InstanceId> {
         let quota_servers = self.context.shares.borrow().quota_servers().to_vec();
-        let mut order = share_clock::quota_servers_of(workspace, &quota_servers);
-        order.shuffle(&mut rand::rng());
-        order.sort_by_key(|quota_server| !self.is_heard(quota_server));
-        order
+        let mut candidates = share_clock::quota_servers_of(workspace, &quota_servers);
+        candidates.shuffle(&mut rand::rng());
+        candidates.sort_by_key(|quota_server| !self.is_live(quota_server));
+        candidates
     }
 
     fn send_request(
@@ -75,7 +79,7 @@
             if quota_server == *context.id() {
                 return Some(grant(context, &request));
             }
-            let (address, timeout) = self.way_to(&quota_server)?;
+            let (address, timeout) = self.route_to(&quota_server)?;
             let response = context.links.draw_tokens(address, request, timeout).await;
             response
                 .inspect_err(|e| {
@@ -87,12 +91,12 @@
     }
 }
 
-/// Grants tokens of the own pools.
+/// Grants tokens from the pools of this process.
 pub(super) fn grant(
     context: &context::ProcessContext,
     request: &limit_messages::TokenRequest,
 ) -> limit_messages::TokenResponse {
-    let Some(limit) = limit_of(context, &request.workspace) else {
+    let Some(limit) = active_limit(context, &request.workspace) else {
         return limit_messages::TokenResponse::NotKeeper;
     };
     let mut pools = context.pools.borrow_mut();
@@ -102,15 +106,16 @@
         .into()
 }
 
-/// Draws tokens for a gateway that is cut off from the keepers.
+/// Draws tokens on behalf of a gateway that cannot reach the quota servers.
 pub(super) async fn draw_for_peer(
     context: &rc::Rc<context::ProcessContext>,
     request: limit_messages::TokenRequest,
 ) -> Option<limit_messages::TokenResponse> {
-    use limiter::GrantSource as _;
+    use limiter::TokenSource as _;
 
-    // Two gateways that take each other for connected must not ask each other in turn.
-    let source = LinkedSource {
+    // No relays: two gateways that wrongly consider each other connected must not forward
+    // a request back and forth.
+    let source = LinkTokenSource {
         context,
         relays: Vec::new(),
     };
@@ -124,37 +129,38 @@
     last
 }
 
-/// The limit in force of a workspace.
-fn limit_of(
+/// Returns the active limit of a workspace.
+fn active_limit(
     context: &context::ProcessContext,
     workspace: &ids::WorkspaceId,
 ) -> Option<rate_limit::RateLimit> {
     context.fleet.table().workspaces().get(workspace)?.limit
 }
 
-/// The keepers of pools: owners of endpoints, and those that are silent for a short time.
+/// Returns the current quota servers: the owners, and processes that have only been silent
+/// for a short time.
 fn quota_servers(
     context: &context::ProcessContext,
     now: clock::MonotonicTime,
 ) -> Vec<ids::InstanceId> {
-    let is_young = context.age() < members::KEEPER_SILENCE;
+    let has_just_started = context.age() < members::KEEPER_SILENCE;
     let members = context.members.borrow();
-    let silent = members.silent_keepers(is_young, now);
+    let silent = members.silent_keepers(has_just_started, now);
     let owners = context.owners();
     let is_dispatcher = |id: &ids::InstanceId| {
         let own = &context.options.member;
         let record = members.records().chain([own]).find(|r| r.id == *id);
         record.is_some_and(|r| r.role == members::MemberRole::Dispatcher)
     };
-    // Gateways keep pools only where there is no dispatcher at all.
-    let are_gateways = !silent.is_empty() && !owners.iter().any(|o| is_dispatcher(&o.id));
-    let owners = owners.iter().filter(|_| !are_gateways);
+    // Gateways are quota servers only if there is no dispatcher at all.
+    let has_only_gateways = !silent.is_empty() && !owners.iter().any(|o| is_dispatcher(&o.id));
+    let owners = owners.iter().filter(|_| !has_only_gateways);
     let all = owners.map(|o| &o.id).chain(silent.iter().map(|r| &r.id));
     share_clock::quota_servers_among(all.cloned())
 }
 
-/// Follows who keeps pools.
-pub(super) fn follow_keepers(context: &context::ProcessContext) {
+/// Updates the set of quota servers, and deposits the own share if this process is one.
+pub(super) fn update_quota_servers(context: &context::ProcessContext) {
     let now = context.clock.now();
     let quota_servers = quota_servers(context, now);
     context
@@ -164,51 +170,52 @@
     let mut pools = context.pools.borrow_mut();
     pools.set_quota_servers(
         &quota_servers,
-        |workspace| limit_of(context, workspace),
+        |workspace| active_limit(context, workspace),
         now,
     );
-    // A gateway that keeps pools is not probed by itself.
+    // A gateway does not probe itself, so its deposit to itself goes with no heartbeat.
     if quota_servers.contains(context.id()) {
-        deposit_here(context, &mut pools, now);
+        deposit_locally(context, &mut pools, now);
     }
 }
 
-/// Deposits the own share in the own pools, if it is due.
-fn deposit_here(
+/// Deposits the own share in the pools of this process, if it is due.
+fn deposit_locally(
     context: &context::ProcessContext,
     pools: &mut token_pools::PoolTable,
     now: clock::MonotonicTime,
 ) {
-    let Some(due) = take_share(context, context.id(), now) else {
+    let Some(due) = take_due_deposit(context, context.id(), now) else {
         return;
     };
     let deposit = token_pools::PoolDeposit {
         run: context.run.run,
         number: due.number,
-        time: share_clock::ShareTime::of(due.time, sharing(context)),
+        time: share_clock::ShareTime::of(due.time, gateway_count(context)),
         view: due.view,
         stamp: now,
     };
     pools.deposit(&deposit, now);
 }
 
-/// Number of gateways that share the limits.
-fn sharing(context: &context::ProcessContext) -> usize {
+/// Returns the number of gateways that share the limits.
+fn gateway_count(context: &context::ProcessContext) -> usize {
     let members = context.members.borrow();
     let is_gateway = |role| role == members::MemberRole::Gateway;
     let own = usize::from(is_gateway(context.options.member.role));
-    // A gateway that does not answer may still serve callers, so it keeps its share.
+    // A silent gateway may still serve callers, so it retains its share.
     members.records().filter(|r| is_gateway(r.role)).count() + own
 }
 
-/// What is due for a deposit with a keeper, by a gateway that knows the others.
-fn take_share(
+/// Takes the deposit that is due at a quota server. Only a gateway that knows the other
+/// members makes deposits.
+fn take_due_deposit(
     context: &context::ProcessContext,
     quota_server: &ids::InstanceId,
     now: clock::MonotonicTime,
 ) -> Option<share_clock::DueDeposit> {
     let is_gateway = context.options.member.role == members::MemberRole::Gateway;
-    // One that stops is not on record any more, so the others have its share.
+    // The member record of a stopping gateway is removed, so the others have its share.
     if !is_gateway || !context.members_known.get() || context.is_stopping() {
         return None;
     }
@@ -218,23 +225,23 @@
         .take(quota_server, now, &mut rand::rng())
 }
 
-/// A deposit on its way to a keeper.
+/// A deposit that was sent to a quota server and is not confirmed yet.
 pub(super) struct SentDeposit {
     quota_server: ids::InstanceId,
     due: share_clock::DueDeposit,
 }
 
-/// Adds the deposit that is due to what is said to a peer.
+/// Adds the deposit that is due at a peer to the heartbeat for it.
 pub(super) fn add_deposit(
     context: &context::ProcessContext,
     peer: &ids::InstanceId,
-    hello: &mut peers::PeerHello,
+    heartbeat: &mut peers::PeerHello,
 ) -> Option<SentDeposit> {
     let (run, stamp) = context.stamps.borrow().get(peer).copied()?;
-    let due = take_share(context, peer, context.clock.now())?;
-    hello.deposit = Some(limit_messages::ShareDeposit {
+    let due = take_due_deposit(context, peer, context.clock.now())?;
+    heartbeat.deposit = Some(limit_messages::ShareDeposit {
         number: due.number,
-        time: share_clock::ShareTime::of(due.time, sharing(context)),
+        time: share_clock::ShareTime::of(due.time, gateway_count(context)),
         view: due.view,
         run,
         stamp,
@@ -245,7 +252,7 @@
     })
 }
 
-/// Takes a deposit back if it was certainly not sent.
+/// Takes a deposit back if it was certainly not sent, so that it can be made again.
 pub(super) fn settle_deposit(
     context: &context::ProcessContext,
     sent: Option<SentDeposit>,
@@ -257,25 +264,25 @@
     }
 }
 
-/// Reads the stamp of a peer that may keep pools.
-pub(super) fn record_stamp(context: &context::ProcessContext, hello: &peers::PeerHello) {
+/// Records the clock stamp of a peer that may be a quota server.
+pub(super) fn record_stamp(context: &context::ProcessContext, heartbeat: &peers::PeerHello) {
     let mut stamps = context.stamps.borrow_mut();
-    stamps.insert(hello.id.clone(), (hello.run, hello.stamp));
+    stamps.insert(heartbeat.id.clone(), (heartbeat.run, heartbeat.stamp));
 }
 
-/// Credits the deposit that a gateway's heartbeat brings.
-pub(super) fn take_deposit(context: &context::ProcessContext, hello: &peers::PeerHello) {
-    let Some(deposit) = hello.deposit else {
+/// Credits the deposit in a gateway's heartbeat, if there is one.
+pub(super) fn credit_deposit(context: &context::ProcessContext, heartbeat: &peers::PeerHello) {
+    let Some(deposit) = heartbeat.deposit else {
         return;
     };
     let outcome = match deposit.run == context.run.run {
         true => {
             let deposit = token_pools::PoolDeposit {
-                run: hello.run,
+                run: heartbeat.run,
                 number: deposit.number,
                 time: deposit.time,
                 view: deposit.view,
-                stamp: deposit.stamp.moment(),
+                stamp: deposit.stamp.time(),
             };
             let now = context.clock.now();
             context.pools.borrow_mut().deposit(&deposit, now)
@@ -283,7 +290,7 @@
         false => token_pools::DepositOutcome::Late,
     };
     if outcome != token_pools::DepositOutcome::Credited {
-        log::debug!("event=deposit_lost from={} why={outcome:?}", hello.id);
+        log::debug!("event=deposit_lost from={} why={outcome:?}", heartbeat.id);
     }
     let label = match outcome {
         token_pools::DepositOutcome::Credited => "credited",
@@ -295,14 +302,14 @@
     deposits.with_label_values(&[label]).inc();
 }
 
-/// Forgets workspaces that had no requests for a while or have no limit any more, and
-/// stamps of processes that are gone.
+/// Forgets workspaces that are idle or have no limit any more, and the stamps of processes
+/// that are gone.
 pub(super) fn forget_idle(context: &context::ProcessContext) {
     let now = context.clock.now();
-    context.limiter.forget_idle(now.before(IDLE_SPAN));
+    context.limiter.forget_idle(now.before(IDLE_DURATION));
     let members = context.members.borrow();
     let mut stamps = context.stamps.borrow_mut();
     stamps.retain(|id, _| members.address_of(id).is_some());
     let mut pools = context.pools.borrow_mut();
-    pools.retain(|workspace| limit_of(context, workspace).is_some(), now);
+    pools.retain(|workspace| active_limit(context, workspace).is_some(), now);
 }
--- a/src/serving/listener.rs
+++ b/src/serving/listener.rs
@@ -73,7 +73,7 @@
     let listener = bind(address)?;
     let context = context.clone();
     actix_rt::spawn(async move {
-        let waiting = context.waiting_answers.clone();
+        let waiting = context.unsent_responses.clone();
         let handler = caller_handler::CallerHandler::new(context);
         let service = actix_http::HttpService::build()
             .client_request_timeout(HEAD_TIMEOUT)
--- a/src/serving/metrics_page.rs
+++ b/src/serving/metrics_page.rs
@@ -1,4 +1,4 @@
-//! The page with counters and histograms, and the answers to readiness checks.
+//! Serves the metrics page and the readiness check.
 
 use std::{convert, io, net, rc};
 
@@ -8,10 +8,10 @@
 use super::{context, listener};
 use crate::http_server;
 
-/// Serves metrics and readiness on their addresses, where there are any.
+/// Serves metrics and readiness at the addresses that the options set.
 ///
 /// # Errors
-/// An address cannot be bound.
+/// Returns an error if an address cannot be bound.
 pub fn start(context: &rc::Rc<context::ProcessContext>) -> io::Result<()> {
     if let Some(address) = context.options.readiness {
         serve(context, address, |context, _| match context.is_ready() {
--- a/src/serving/mod.rs
+++ b/src/serving/mod.rs
@@ -1,12 +1,12 @@
-//! Serving by routes: opaque requests, streams and batch jobs through a desired state.
+//! Serving of opaque requests, streams and batch jobs by the routes of a desired state.
 //!
-//! Where [`crate::gateway`] speaks the OpenAI interface, this part forwards
-//! requests as they come, by host and path. The words on the wire, the store
-//! and the source of the desired state are borders: [`wire`], [`crate::store`]
-//! and [`fleet_source`]. An adapter crate brings their implementations.
+//! While [`crate::gateway`] implements the OpenAI API, this module forwards requests
+//! unchanged, by host and path. The wire format, the store and the source of the desired
+//! state are interfaces, [`wire`], [`crate::store`] and [`fleet_source`], that an adapter
+//! crate implements.
 //!
-//! All of it runs on one thread of a process: an instance has one core, and a
-//! hop between threads costs more than the work of a small request.
+//! A process runs all of it on one thread: an instance has one core, and a hop between
+//! threads costs more than the work of a small request.
 
 pub mod answer_copy;
 pub mod attempt;
--- a/src/serving/owners.rs
+++ b/src/serving/owners.rs
@@ -154,10 +154,10 @@
         }
         *context.owners.borrow_mut() = rc::Rc::new(owners);
     }
-    limit_links::follow_keepers(context);
+    limit_links::update_quota_servers(context);
     context.fleet.set_follows(is_follower(context, now));
     let change_number = Some(context.fleet.change_number());
-    if context.owned_at.replace(change_number) != change_number || changed {
+    if context.owned_change_number.replace(change_number) != change_number || changed {
         refresh_owned(context);
     }
     if changed {
--- a/src/serving/peer_calls.rs
+++ b/src/serving/peer_calls.rs
@@ -33,7 +33,7 @@
     match call {
         C::Probe(hello, sender) => {
             views::take_probe(context, &hello);
-            reply(sender, context.hello());
+            reply(sender, context.heartbeat());
         }
         C::Acquire(request, sender) => {
             let is_owner = context.owners().iter().any(|o| o.id == *context.id());
@@ -50,9 +50,9 @@
         C::Release(ended) => release(context, ended),
         C::Report(report) => take_report(context, &report),
         C::CrashUpdate(update) => {
-            crash_guard::take(context, update);
+            crash_guard::apply_update(context, update);
         }
-        C::Crashes(sender) => reply(sender, context.crashes.copy(context.clock.now())),
+        C::Crashes(sender) => reply(sender, context.crashes.updates(context.clock.now())),
         C::StatePart(request, sender) => {
             let table = context.fleet.table();
             if !table.is_known() {
@@ -236,7 +236,7 @@
         context.jobs.work.notify_one();
         return;
     }
-    let relayed = context.relayed.borrow_mut().pop(&ended.number);
+    let relayed = context.relayed_slots.borrow_mut().pop(&ended.number);
     if let Some(owner) = relayed {
         context.links.release(owner, ended);
     }
--- a/src/serving/process.rs
+++ b/src/serving/process.rs
@@ -1,4 +1,4 @@
-//! One process of the system: its start and its stop.
+//! Start and graceful stop of a process.
 
 use std::{io, rc, time};
 
@@ -10,16 +10,17 @@
 };
 use crate::{clock, decisions::call_budget::CallClass, protection, store};
 
-/// Part of the grace after which a stopping process ends in any case.
-const END_SHARE: f64 = 0.97;
+/// Fraction of the grace period after which a stopping process ends in any case.
+const DRAIN_FRACTION: f64 = 0.97;
 
-/// How often a stopping process looks whether its last request has ended.
-const STOP_POLL: time::Duration = time::Duration::from_millis(20);
+/// Interval at which a draining process checks whether its last request has ended.
+const DRAIN_POLL_INTERVAL: time::Duration = time::Duration::from_millis(20);
 
-/// Runs a process on this thread until `stop` says so and its last request ended.
+/// Runs a process on the current thread until `stop` receives a message or is closed and
+/// the process has drained.
 ///
 /// # Errors
-/// An address cannot be bound.
+/// Returns an error if an address cannot be bound.
 pub async fn run(
     options: context::ProcessOptions,
     adapters: context::ProcessAdapters,
@@ -41,7 +42,7 @@
     actix_rt::spawn(views::watch_members(context.clone()));
     actix_rt::spawn(views::probe_peers(context.clone()));
     actix_rt::spawn(views::refresh_views(context.clone()));
-    actix_rt::spawn(crash_guard::read_held(context.clone()));
+    actix_rt::spawn(crash_guard::read_quarantined(context.clone()));
     actix_rt::spawn(owners::tick(context.clone()));
     actix_rt::spawn(owners::follow_orders(context.clone()));
     actix_rt::spawn(suspension::follow(context.clone()));
@@ -54,12 +55,12 @@
     Ok(())
 }
 
-/// Reads the progress of the process before this one, and starts to keep its own.
-fn open_checkpoints(options: &context::ProcessOptions) -> context::KeptProgress {
+/// Restores the job progress of the previous process and opens the checkpoint file.
+fn open_checkpoints(options: &context::ProcessOptions) -> context::RestoredProgress {
     let board = job_checkpoints::CheckpointBoard::default();
     let folder = options.data_folder.clone();
-    let opened = folder.map(checkpoint_file::CheckpointFile::start);
-    let file = match opened {
+    let start_result = folder.map(checkpoint_file::CheckpointFile::start);
+    let file = match start_result {
         Some(Ok((file, jobs))) => {
             for job in jobs {
                 board.take(job);
@@ -72,42 +73,43 @@
         }
         None => None,
     };
-    context::KeptProgress { board, file }
+    context::RestoredProgress { board, file }
 }
 
-/// Ends once the last answer has gone and all jobs are handed back, or the grace is over.
+/// Drains the process: waits until all responses are sent and all jobs are handed back, or
+/// the grace period is nearly over.
 async fn stop_gracefully(context: &rc::Rc<context::ProcessContext>) {
     log::info!("event=stopping active={}", context.active.get());
     context.stopping.send_replace(true);
     owners::refresh_owners(context);
-    let begun = clock::BootInstant::now();
-    context.stop_begun.set(Some(begun));
-    // The last moments are kept for the end itself.
-    let timeout = context.options.grace.mul_f64(END_SHARE);
-    // Peers and the readiness check learn of it before the process is gone.
-    let least = members::PROBE_INTERVAL * 2;
-    let record_gone = remove_member(context);
-    tokio::pin!(record_gone);
+    let started_at = clock::BootInstant::now();
+    context.stop_started_at.set(Some(started_at));
+    // The rest of the grace period is left for the exit itself.
+    let timeout = context.options.grace.mul_f64(DRAIN_FRACTION);
+    // Peers and the readiness check must see that the process is leaving before it exits.
+    let min_duration = members::PROBE_INTERVAL * 2;
+    let removal = remove_member_record(context);
+    tokio::pin!(removal);
     let mut removed = false;
-    while begun.elapsed() < timeout && !protection::is_disabled("drain") {
+    while started_at.elapsed() < timeout && !protection::is_disabled("drain") {
         let idle = context.is_idle() && context.jobs.is_handed_back();
-        if removed && idle && begun.elapsed() > least {
+        if removed && idle && started_at.elapsed() > min_duration {
             break;
         }
         tokio::select! {
-            () = &mut record_gone, if !removed => removed = true,
-            () = actix_rt::time::sleep(STOP_POLL) => {}
+            () = &mut removal, if !removed => removed = true,
+            () = actix_rt::time::sleep(DRAIN_POLL_INTERVAL) => {}
         }
     }
     log::info!(
         "event=stopped active={} unsent={} after_ms={}",
         context.active.get(),
-        context.waiting_answers.get(),
-        begun.elapsed().as_millis()
+        context.unsent_responses.get(),
+        started_at.elapsed().as_millis()
     );
 }
 
-async fn remove_member(context: &rc::Rc<context::ProcessContext>) {
+async fn remove_member_record(context: &rc::Rc<context::ProcessContext>) {
     let key = format!("{}/{}", context::MEMBER_KIND, context.id());
     let condition = store::WriteCondition::Always;
     if let Err(e) = context
--- a/src/serving/request_admission.rs
+++ b/src/serving/request_admission.rs
@@ -153,7 +153,7 @@
     if protection::is_disabled("rate_limit") {
         return Ok(None);
     }
-    let source = limit_links::LinkedSource::new(context);
+    let source = limit_links::LinkTokenSource::new(context);
     let clock = context.clock.as_ref();
     let verdict = context.limiter.admit(&spec.id, &source, clock).await;
     let (reason, status, delay) = match verdict {
--- a/src/serving/slots.rs
+++ b/src/serving/slots.rs
@@ -38,7 +38,7 @@
         loads.health.record_success(&self.endpoint.id);
         if !self.is_served.replace(true) {
             self.context.fleet.record_named(&self.endpoint.id);
-            let mut firsts = self.context.firsts.borrow_mut();
+            let mut firsts = self.context.first_estimates.borrow_mut();
             let first = firsts.entry(self.endpoint.service.clone()).or_default();
             first.record(self.context.clock.now().since(self.taken));
         }
@@ -282,7 +282,7 @@
     request: &SlotParams<'_>,
 ) -> peers::OnlineSlotRequest {
     let SlotParams { service, tried, .. } = *request;
-    let first = context.firsts.borrow().get(service).copied();
+    let first = context.first_estimates.borrow().get(service).copied();
     let directory = context.fleet.directory.borrow();
     let count = directory.of_service(service).len();
     let is_listed = |id: &ids::EndpointId| {
@@ -356,7 +356,7 @@
                     end_permit(context, &permit, false);
                     return None;
                 }
-                context.relayed.borrow_mut().put(number, address);
+                context.relayed_slots.borrow_mut().put(number, address);
                 return Some(response);
             }
             Ok(_) => {}
--- a/src/serving/suspension.rs
+++ b/src/serving/suspension.rs
@@ -22,10 +22,10 @@
             continue;
         };
         log::warn!("event=suspended ms={}", duration.as_millis());
-        context.wakes.send_modify(|count| *count += 1);
+        context.suspensions.send_modify(|count| *count += 1);
         // Watches that were under way may have ended at the store without a word.
         context.fleet.take(fleet_source::FleetUpdate::Returned);
-        context.members_news.notify_one();
+        context.members_updated.notify_one();
     }
 }
 
@@ -36,7 +36,7 @@
     context: &context::ProcessContext,
     left: impl Fn() -> time::Duration,
 ) {
-    let mut wakes = context.wakes.subscribe();
+    let mut wakes = context.suspensions.subscribe();
     loop {
         let rest = left();
         if rest.is_zero() {
--- a/src/serving/views.rs
+++ b/src/serving/views.rs
@@ -73,7 +73,7 @@
                 since = store::ObjectRevision(response.revision);
                 context.members_known.set(true);
                 take_members(&context, &prefix, response.changes);
-                context.members_news.notify_one();
+                context.members_updated.notify_one();
                 let delay = match is_first {
                     true => FIRST_WATCH_PAUSE,
                     false => NEXT_WATCH_PAUSE,
@@ -151,7 +151,7 @@
         // without owners until they have answered.
         tokio::select! {
             () = actix_rt::time::sleep(members::PROBE_INTERVAL) => {}
-            () = context.members_news.notified() => {}
+            () = context.members_updated.notified() => {}
         }
     }
 }
@@ -193,7 +193,7 @@
 
 async fn probe(context: rc::Rc<context::ProcessContext>, record: members::MemberRecord) {
     context.links.settle(record.address).await;
-    let mut hello = context.hello();
+    let mut hello = context.heartbeat();
     let deposit = limit_links::add_deposit(&context, &record.id, &mut hello);
     let response = context
         .links
@@ -204,7 +204,7 @@
         Ok(hello) if hello.id == record.id => {
             limit_links::record_stamp(&context, &hello);
             hear(&context, &hello);
-            crash_guard::learn(&context, record.address, &hello);
+            crash_guard::pull_from(&context, record.address, &hello);
             catch_up(&context, record.address, &hello).await;
         }
         Ok(hello) => log::warn!("event=peer_differs listed={} found={}", record.id, hello.id),
@@ -216,9 +216,9 @@
 /// Takes the heartbeat of a peer that probes this process.
 pub(super) fn take_probe(context: &rc::Rc<context::ProcessContext>, hello: &peers::PeerHello) {
     hear(context, hello);
-    limit_links::take_deposit(context, hello);
+    limit_links::credit_deposit(context, hello);
     learn_state(context, hello.address, hello);
-    crash_guard::learn(context, hello.address, hello);
+    crash_guard::pull_from(context, hello.address, hello);
     if may_tell_list(context, hello) {
         let (context, hello) = (context.clone(), hello.clone());
         actix_rt::spawn(async move { learn_list(&context, hello.address, &hello).await });
@@ -300,7 +300,7 @@
     peer: net::SocketAddr,
     hello: &peers::PeerHello,
 ) {
-    let Some(_guard) = context.list_flight.begin() else {
+    let Some(_guard) = context.list_request.begin() else {
         return;
     };
     // Who probes this process need not have been asked anything before.
@@ -350,10 +350,10 @@
     let now = context.clock.now();
     let lately = |at| now.since(at) < MEMBERS_PAUSE;
     let is_known = hello.members == context.members.borrow().digest(own);
-    if is_known || context.members_asked.get().is_some_and(lately) {
+    if is_known || context.members_requested_at.get().is_some_and(lately) {
         return;
     }
-    context.members_asked.set(Some(now));
+    context.members_requested_at.set(Some(now));
     match context.links.members(peer, VIEW_TIMEOUT).await {
         Ok(mut records) => {
             log::info!(
@@ -364,7 +364,7 @@
             records.retain(|r| r.id != own.id);
             let now = context.clock.now();
             context.members.borrow_mut().merge(records, now);
-            context.members_news.notify_one();
+            context.members_updated.notify_one();
         }
         Err(e) => log::info!("event=peer_members_missing peer={} why=\"{e}\"", hello.id),
     }
--- a/src/serving/workspaces/api_key.rs
+++ b/src/serving/workspaces/api_key.rs
@@ -1,33 +1,33 @@
-//! API keys as digests.
+//! API keys of requests, represented by digests.
 
 use std::{fmt, num, str};
 
 use sha2::Digest as _;
 
-/// Hexadecimal digits of a digest in logs.
-const SHOWN_DIGITS: usize = 12;
+/// Number of hexadecimal digits of a digest that are logged.
+const ABBREVIATED_DIGITS: usize = 12;
 
 /// Digest of an API key: the first 128 bits of its SHA-256.
 ///
-/// Keys themselves are neither kept nor compared. Comparing digests takes a time that
-/// depends on the digest alone, from which the key does not follow.
+/// Keys themselves are neither stored nor compared. The time to compare digests depends
+/// only on the digests, which do not reveal the key.
 #[derive(
     Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize,
 )]
 pub struct KeyDigest(u128);
 
 impl KeyDigest {
-    /// The digest of a key.
+    /// Computes the digest of a key.
     pub fn of(key: &[u8]) -> Self {
         let hash = sha2::Sha256::digest(key);
         let first = hash.first_chunk().expect("a hash has 32 bytes");
         Self(u128::from_be_bytes(*first))
     }
 
-    /// The beginning of the digest, for logs.
-    pub fn shown(&self) -> String {
+    /// Returns the first digits of the digest, for logs.
+    pub fn abbreviated(&self) -> String {
         let mut text = self.to_string();
-        text.truncate(SHOWN_DIGITS);
+        text.truncate(ABBREVIATED_DIGITS);
         text
     }
 }
@@ -40,7 +40,7 @@
 
 impl fmt::Debug for KeyDigest {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(&self.shown())
+        f.write_str(&self.abbreviated())
     }
 }
 
@@ -52,15 +52,15 @@
     }
 }
 
-/// The credentials of a request.
+/// Credentials of a request.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum PresentedKey {
-    /// The request has none.
+    /// The request has no credentials.
     #[default]
     Missing,
-    /// There is more than one, or it is not of the expected scheme.
+    /// There is more than one authorization header, or it lacks the expected scheme or a key.
     Malformed,
-    /// A key.
+    /// Digest of the key.
     Key(KeyDigest),
 }
 
@@ -69,7 +69,7 @@
         match self {
             Self::Missing => f.write_str("missing"),
             Self::Malformed => f.write_str("malformed"),
-            Self::Key(digest) => f.write_str(&digest.shown()),
+            Self::Key(digest) => f.write_str(&digest.abbreviated()),
         }
     }
 }
--- a/src/serving/workspaces/limit_messages.rs
+++ b/src/serving/workspaces/limit_messages.rs
@@ -1,4 +1,4 @@
-//! What gateways and the keepers of pools say to each other.
+//! Messages between gateways and quota servers.
 
 use crate::{
     clock,
@@ -6,54 +6,54 @@
     ids,
 };
 
-/// A moment by the clock of the process that made the stamp.
+/// Time by the monotonic clock of the process that made the stamp.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct ClockStamp(u64);
 
 impl ClockStamp {
-    /// The stamp of a moment.
-    pub fn of(moment: clock::MonotonicTime) -> Self {
-        Self(moment.0)
+    /// Creates the stamp of a time of this process.
+    pub fn of(time: clock::MonotonicTime) -> Self {
+        Self(time.0)
     }
 
-    /// The moment of a stamp of this process.
-    pub fn moment(self) -> clock::MonotonicTime {
+    /// Returns the time of a stamp that this process made.
+    pub fn time(self) -> clock::MonotonicTime {
         clock::MonotonicTime(self.0)
     }
 }
 
-/// A gateway's share of all limits over a time, for the pools of one keeper.
+/// A gateway's share of all limits over a time, for the pools of one quota server.
 #[derive(Debug, Clone, Copy, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct ShareDeposit {
-    /// Tells it from the others of the gateway's run.
+    /// Number of the deposit, unique within the gateway's run.
     pub number: share_clock::DepositNumber,
-    /// The share.
+    /// Share of time that is deposited.
     pub time: share_clock::ShareTime,
-    /// The keepers that the gateway knows.
+    /// Set of the quota servers that the gateway knows.
     pub view: share_clock::QuotaServerView,
-    /// The run of the keeper that made the stamp.
+    /// Run of the quota server that made the stamp.
     pub run: ids::RunNumber,
-    /// The latest stamp of the keeper that the gateway has read.
+    /// Latest stamp of the quota server that the gateway has received.
     pub stamp: ClockStamp,
 }
 
 /// A request for tokens of a workspace.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct TokenRequest {
-    /// The workspace.
+    /// Workspace whose tokens are requested.
     pub workspace: ids::WorkspaceId,
-    /// Tokens that can be used.
+    /// Maximum number of tokens to grant.
     pub wanted: u32,
 }
 
-/// The answer to a request for tokens.
+/// Response to a request for tokens.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum TokenResponse {
-    /// So many tokens, at least one.
+    /// Number of granted tokens, at least one.
     Tokens(u32),
-    /// None; there is one again after so many milliseconds.
+    /// No token was granted; the next is available after this time in milliseconds.
     Empty(u32),
-    /// The process keeps no pool of the workspace, or knows no limit of it.
+    /// The process is no quota server of the workspace, or knows no limit of it.
     NotKeeper,
 }
 
--- a/src/serving/workspaces/limiter.rs
+++ b/src/serving/workspaces/limiter.rs
@@ -1,4 +1,4 @@
-//! Holds the requests of a gateway to the limits of their workspaces.
+//! Enforces the rate limits of workspaces on the requests of a gateway.
 
 use std::{cell, collections, rc, time};
 
@@ -12,21 +12,21 @@
 use super::limit_messages;
 use crate::{clock, decisions::rate_limits::token_cache, ids};
 
-/// Longest wait for a request for tokens that another request of the workspace made.
+/// Timeout of waiting for a token request that another request of the workspace started.
 const FLIGHT_TIMEOUT: time::Duration = time::Duration::from_secs(1);
-/// Pause after which the next keeper is asked beside one that has not answered.
-const HEDGE_PAUSE: time::Duration = time::Duration::from_millis(30);
-/// Time over which callers that are refused at once are asked to return.
-const RETURN_SPREAD: time::Duration = time::Duration::from_millis(800);
-/// When a caller may return whose limit could not be checked.
-const SILENT_PAUSE: time::Duration = time::Duration::from_millis(150);
-
-/// Where tokens are drawn.
-pub trait GrantSource {
-    /// The keepers of a workspace's pools, the first choice first.
+/// Delay after which a hedged request goes to the next quota server.
+const HEDGE_DELAY: time::Duration = time::Duration::from_millis(30);
+/// Range of the random delay that is added to the retry times of refused callers.
+const RETRY_JITTER: time::Duration = time::Duration::from_millis(800);
+/// Retry delay for a caller whose limit could not be checked.
+const UNCHECKED_RETRY_DELAY: time::Duration = time::Duration::from_millis(150);
+
+/// Source of tokens.
+pub trait TokenSource {
+    /// Returns the quota servers of a workspace in order of preference.
     fn quota_servers(&self, workspace: &ids::WorkspaceId) -> Vec<ids::InstanceId>;
 
-    /// Asks a keeper for tokens; nothing if it does not answer.
+    /// Requests tokens from a quota server. Resolves to `None` if it does not respond.
     fn send_request(
         &self,
         quota_server: ids::InstanceId,
@@ -34,41 +34,41 @@
     ) -> future::LocalBoxFuture<'_, Option<limit_messages::TokenResponse>>;
 }
 
-/// Whether a request may be served.
+/// Verdict of the limiter on a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LimitVerdict {
-    /// It may: a token was spent for it.
+    /// A token was spent, and the request may be served.
     Admitted,
-    /// It is over the limit, which has room again after this time.
+    /// The request exceeds the limit and may be retried after this time.
     Exceeded(time::Duration),
-    /// The limit cannot be checked now.
+    /// The limit cannot be checked now; the request may be retried after this time.
     Unchecked(time::Duration),
 }
 
-/// A request for tokens in flight; its waiters are notified when it ends.
+/// A token request in flight, whose waiters are notified when it ends.
 #[derive(Default)]
-struct AskFlight {
+struct TokenFlight {
     waiting: cell::Cell<u32>,
     ended: Notify,
 }
 
-/// Tokens of a gateway, and the requests for more that are under way.
+/// Rate limiter of a gateway: its token cache and its token requests in flight.
 #[derive(Default)]
 pub struct Limiter {
     cache: cell::RefCell<token_cache::TokenCache>,
-    flights: cell::RefCell<collections::HashMap<ids::WorkspaceId, rc::Rc<AskFlight>>>,
+    flights: cell::RefCell<collections::HashMap<ids::WorkspaceId, rc::Rc<TokenFlight>>>,
 }
 
-/// Ends a flight, also where its request is dropped.
+/// Guard that ends a flight when dropped, so that a cancelled request ends it too.
 struct FlightGuard<'a> {
     limiter: &'a Limiter,
     workspace: &'a ids::WorkspaceId,
-    flight: rc::Rc<AskFlight>,
+    flight: rc::Rc<TokenFlight>,
 }
 
 impl<'a> FlightGuard<'a> {
     fn begin(limiter: &'a Limiter, workspace: &'a ids::WorkspaceId) -> Self {
-        let flight = rc::Rc::new(AskFlight::default());
+        let flight = rc::Rc::new(TokenFlight::default());
         let mut flights = limiter.flights.borrow_mut();
         flights.insert(workspace.clone(), flight.clone());
         Self {
@@ -87,51 +87,51 @@
 }
 
 impl Limiter {
-    /// Spends a token for a request, and draws more where there is none.
+    /// Spends a token for a request. If the cache has none, draws more from the source.
     pub async fn admit(
         &self,
         workspace: &ids::WorkspaceId,
-        source: &dyn GrantSource,
+        source: &dyn TokenSource,
         clock: &dyn clock::MonotonicClock,
     ) -> LimitVerdict {
         self.cache
             .borrow_mut()
             .record_request(workspace, clock.now());
-        let begun = clock.now();
+        let started_at = clock.now();
         loop {
             let now = clock.now();
             if self.cache.borrow_mut().spend(workspace, now) {
                 return LimitVerdict::Admitted;
             }
             if let Some(denial) = self.cache.borrow().denial(workspace, now) {
-                return refusal(denial);
+                return verdict_of(denial);
             }
-            if now.since(begun) > FLIGHT_TIMEOUT {
-                return refusal(token_cache::Denial::Silent);
+            if now.since(started_at) > FLIGHT_TIMEOUT {
+                return verdict_of(token_cache::Denial::Silent);
             }
-            let under_way = self.flights.borrow().get(workspace).cloned();
-            match under_way {
+            let in_flight = self.flights.borrow().get(workspace).cloned();
+            match in_flight {
                 Some(flight) => wait_for(&flight).await,
                 None => self.draw(workspace, source, clock).await,
             }
         }
     }
 
-    /// Gives back the token of a request that was not run.
+    /// Returns the token of a request that was not run to the cache.
     pub fn give_back(&self, workspace: &ids::WorkspaceId, now: clock::MonotonicTime) {
         self.cache.borrow_mut().put(workspace, 1, now);
     }
 
-    /// Forgets workspaces without requests since a moment.
+    /// Forgets workspaces without requests after the time `since`.
     pub fn forget_idle(&self, since: clock::MonotonicTime) {
         self.cache.borrow_mut().forget_idle(since);
     }
 
-    /// Asks the keepers of a workspace in turn, and notes what they say.
+    /// Draws tokens from the quota servers of a workspace, and records a denial.
     async fn draw(
         &self,
         workspace: &ids::WorkspaceId,
-        source: &dyn GrantSource,
+        source: &dyn TokenSource,
         clock: &dyn clock::MonotonicClock,
     ) {
         let guard = FlightGuard::begin(self, workspace);
@@ -146,61 +146,62 @@
         cache.record_denial(workspace, denial, clock.now());
     }
 
-    /// Asks the keepers one after the other; who is slow is asked beside the next one.
+    /// Queries the quota servers in order, with a hedged request to the next one while a
+    /// response is slow.
     ///
     /// # Errors
-    /// None of them gave a token.
+    /// Returns the denial if no quota server granted a token.
     async fn query_quota_servers(
         &self,
         workspace: &ids::WorkspaceId,
-        source: &dyn GrantSource,
+        source: &dyn TokenSource,
         clock: &dyn clock::MonotonicClock,
-        flight: &AskFlight,
+        flight: &TokenFlight,
     ) -> Result<(), token_cache::Denial> {
         let mut denial = token_cache::Denial::Silent;
         let mut quota_servers = source.quota_servers(workspace).into_iter();
-        let mut asks = stream::FuturesUnordered::new();
+        let mut requests = stream::FuturesUnordered::new();
         loop {
             if let Some(quota_server) = quota_servers.next() {
                 let wanted = self.wanted(workspace, flight);
                 let workspace = workspace.clone();
-                let asked_at = clock.now();
+                let requested_at = clock.now();
                 let request = source.send_request(
                     quota_server,
                     limit_messages::TokenRequest { workspace, wanted },
                 );
-                asks.push(request.map(move |response| (response, asked_at)));
+                requests.push(request.map(move |response| (response, requested_at)));
             }
-            if asks.is_empty() {
+            if requests.is_empty() {
                 return Err(denial);
             }
             let is_last = quota_servers.len() == 0;
             tokio::select! {
                 biased;
-                Some((response, asked_at)) = asks.next() => match response {
+                Some((response, requested_at)) = requests.next() => match response {
                     Some(limit_messages::TokenResponse::Tokens(count)) => {
-                        self.cache.borrow_mut().put(workspace, count, asked_at);
+                        self.cache.borrow_mut().put(workspace, count, requested_at);
                         return Ok(());
                     }
                     Some(limit_messages::TokenResponse::Empty(ms)) => {
-                        denial = sooner(denial, time::Duration::from_millis(ms.into()));
+                        denial = merge_wait(denial, time::Duration::from_millis(ms.into()));
                     }
                     Some(limit_messages::TokenResponse::NotKeeper) | None => {}
                 },
-                () = tokio::time::sleep(HEDGE_PAUSE), if !is_last => {}
+                () = tokio::time::sleep(HEDGE_DELAY), if !is_last => {}
             }
         }
     }
 
-    /// Tokens to ask for, with those for the requests that wait.
-    fn wanted(&self, workspace: &ids::WorkspaceId, flight: &AskFlight) -> u32 {
+    /// Returns the number of tokens to request, including those for waiting requests.
+    fn wanted(&self, workspace: &ids::WorkspaceId, flight: &TokenFlight) -> u32 {
         let waiting = flight.waiting.get() + 1;
         self.cache.borrow_mut().wanted(workspace, waiting)
     }
 }
 
-/// Waits for the end of a request for tokens that is under way.
-async fn wait_for(flight: &AskFlight) {
+/// Waits for the end of a token request in flight.
+async fn wait_for(flight: &TokenFlight) {
     flight.waiting.set(flight.waiting.get() + 1);
     let ended = flight.ended.notified();
     if tokio::time::timeout(FLIGHT_TIMEOUT, ended).await.is_err() {
@@ -208,20 +209,22 @@
     }
 }
 
-/// The denial after one more keeper has said when it has a token.
-fn sooner(before: token_cache::Denial, wait: time::Duration) -> token_cache::Denial {
+/// Merges the wait that another quota server reports into a denial; the shortest counts.
+fn merge_wait(before: token_cache::Denial, wait: time::Duration) -> token_cache::Denial {
     match before {
         token_cache::Denial::Exceeded(other) => token_cache::Denial::Exceeded(other.min(wait)),
         token_cache::Denial::Silent => token_cache::Denial::Exceeded(wait),
     }
 }
 
-/// The verdict on a request without a token. Callers return at different times, or
-/// the limit would be used up by the first of them again.
-fn refusal(denial: token_cache::Denial) -> LimitVerdict {
-    let spread = RETURN_SPREAD.mul_f64(rand::rng().random());
+/// Returns the verdict on a request without a token, with a random retry time.
+///
+/// Without the jitter, refused callers would return together, and the first of them would
+/// use up the limit again.
+fn verdict_of(denial: token_cache::Denial) -> LimitVerdict {
+    let jitter = RETRY_JITTER.mul_f64(rand::rng().random());
     match denial {
-        token_cache::Denial::Exceeded(wait) => LimitVerdict::Exceeded(wait + spread),
-        token_cache::Denial::Silent => LimitVerdict::Unchecked(SILENT_PAUSE + spread / 4),
+        token_cache::Denial::Exceeded(wait) => LimitVerdict::Exceeded(wait + jitter),
+        token_cache::Denial::Silent => LimitVerdict::Unchecked(UNCHECKED_RETRY_DELAY + jitter / 4),
     }
 }
--- a/src/serving/workspaces/mod.rs
+++ b/src/serving/workspaces/mod.rs
@@ -1,7 +1,7 @@
-//! Workspaces: whose a request is, and how many requests a workspace may send.
+//! Workspaces: authentication of requests by API key, and rate limits.
 //!
-//! Imports nothing else of [`crate::serving`]; what it needs of peers comes
-//! through [`limiter::GrantSource`].
+//! Imports nothing else of [`crate::serving`]; tokens of peers come through
+//! [`limiter::TokenSource`].
 
 pub mod api_key;
 pub mod limit_messages;
--- a/src/serving/workspaces/workspace_table.rs
+++ b/src/serving/workspaces/workspace_table.rs
@@ -1,26 +1,26 @@
-//! The workspaces of a desired state, ready for look-ups.
+//! Index of the workspaces of a desired state by key and by ID.
 
 use std::{collections, sync};
 
 use super::api_key;
 use crate::{decisions::rate_limits::rate_limit, ids};
 
-/// A workspace.
+/// Specification of a workspace.
 #[derive(Debug, Clone, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct WorkspaceSpec {
-    /// Its name.
+    /// ID of the workspace.
     pub id: ids::WorkspaceId,
-    /// Digests of its keys.
+    /// Digests of the workspace's API keys.
     pub keys: Vec<api_key::KeyDigest>,
-    /// Rank of its requests, 0 first; goes before that of their route.
+    /// Priority of its requests, 0 first, which overrides that of the route.
     pub priority: Option<u32>,
-    /// Limit of its requests over all gateways together, if there is one.
+    /// Rate limit of its requests over all gateways together, if there is one.
     pub limit: Option<rate_limit::RateLimit>,
 }
 
-/// The workspaces, by key and by name.
+/// Index of workspaces by key and by ID.
 ///
-/// Invariant: `by_key` names workspaces of `by_id` only.
+/// Invariant: `by_key` contains only workspaces of `by_id`.
 #[derive(Debug, Default)]
 pub struct WorkspaceTable {
     is_required: bool,
@@ -29,9 +29,9 @@
 }
 
 impl WorkspaceTable {
-    /// A table of workspaces; without a list, requests need no key.
+    /// Creates a table. Without a list of workspaces, requests need no key.
     ///
-    /// A key of two workspaces belongs to the first that lists it.
+    /// A key that several workspaces list belongs to the first of them.
     pub fn new(workspaces: Option<&[WorkspaceSpec]>) -> Self {
         let mut table = Self {
             is_required: workspaces.is_some(),
@@ -57,27 +57,27 @@
         self.by_id.insert(spec.id.clone(), spec);
     }
 
-    /// Whether requests need a key, but for those of public routes.
+    /// Returns whether requests to routes that are not public need a key.
     pub fn is_required(&self) -> bool {
         self.is_required
     }
 
-    /// The workspace that a key belongs to.
+    /// Returns the workspace that a key belongs to.
     pub fn find(&self, key: &api_key::KeyDigest) -> Option<&sync::Arc<WorkspaceSpec>> {
         self.by_key.get(key)
     }
 
-    /// A workspace by its name.
+    /// Returns the workspace with an ID.
     pub fn get(&self, id: &ids::WorkspaceId) -> Option<&sync::Arc<WorkspaceSpec>> {
         self.by_id.get(id)
     }
 
-    /// Number of workspaces.
+    /// Returns the number of workspaces.
     pub fn len(&self) -> usize {
         self.by_id.len()
     }
 
-    /// Whether there is no workspace.
+    /// Returns whether there are no workspaces.
     pub fn is_empty(&self) -> bool {
         self.by_id.is_empty()
     }
