--- a/src/serving/crash_guard.rs
+++ b/src/serving/crash_guard.rs
@@ -62,6 +62,7 @@
     ledger: cell::RefCell<crash_ledger::CrashLedger>,
     /// Requests whose records are being written to the store.
     saving: cell::RefCell<collections::HashSet<ids::RequestDigest>>,
+    /// Guard that allows one pull at a time.
     flight: single_flight::SingleFlight,
     /// Number of consecutive pulls that brought nothing new.
     empty_pulls: cell::Cell<u32>,
@@ -239,7 +240,7 @@
     id: ids::InstanceId,
 ) {
     let guard = &context.crashes;
-    let Some(_guard) = guard.flight.begin() else {
+    let Some(_pull) = guard.flight.begin() else {
         return;
     };
     context.links.settle(peer).await;
@@ -271,10 +272,10 @@
 /// from the store.
 pub(super) fn expire(context: &rc::Rc<context::ProcessContext>) {
     let now = context.clock.now();
-    let forgotten = context.crashes.ledger.borrow_mut().expire(now);
+    let expired = context.crashes.ledger.borrow_mut().expire(now);
     let owners = context.owners();
     let is_first = owners.first().is_some_and(|o| o.id == *context.id());
-    for digest in forgotten {
+    for digest in expired {
         log::info!("event=request_freed digest={digest}");
         if is_first {
             actix_rt::spawn(remove(context.clone(), digest));
@@ -297,13 +298,13 @@
         let now = context.clock.now();
         let update = context.crashes.ledger.borrow().update_of(digest, now);
         let Some(update) = update else { break };
-        let known = (update.crashes.len(), update.cleared.len());
+        let counts = (update.crashes.len(), update.cleared.len());
         // Another crash may have been recorded during the last write.
-        if written == Some(known) {
+        if written == Some(counts) {
             break;
         }
         match write(&context, update).await {
-            Ok(()) => written = Some(known),
+            Ok(()) => written = Some(counts),
             Err(e) => {
                 log::info!("event=held_request_unwritten digest={digest} why=\"{e}\"");
                 let delay = retry::backoff_delay(attempt, &SAVE_BACKOFF, &mut rand::rng());
--- a/src/serving/workspaces/limiter.rs
+++ b/src/serving/workspaces/limiter.rs
@@ -210,8 +210,8 @@
 }
 
 /// Merges the wait that another quota server reports into a denial; the shortest counts.
-fn merge_wait(before: token_cache::Denial, wait: time::Duration) -> token_cache::Denial {
-    match before {
+fn merge_wait(denial: token_cache::Denial, wait: time::Duration) -> token_cache::Denial {
+    match denial {
         token_cache::Denial::Exceeded(other) => token_cache::Denial::Exceeded(other.min(wait)),
         token_cache::Denial::Silent => token_cache::Denial::Exceeded(wait),
     }
