--- a/src/serving/attempt_flow.rs
+++ b/src/serving/attempt_flow.rs
@@ -326,14 +326,14 @@
 
     /// Starts a background check whether the endpoint of a failed attempt crashed.
     fn watch_for_crash(&self, slot: &slots::HeldSlot, has_head: bool) {
-        let run = crash_watch::CutRun {
+        let run = crash_watch::InterruptedRun {
             digest: self.request.forwarded.digest,
             id: self.request.terms.id.clone().unwrap_or_default(),
             endpoint: slot.endpoint.clone(),
             begun: slot.acquired_at(),
             has_head,
         };
-        crash_watch::begin(&self.context, run);
+        crash_watch::start(&self.context, run);
     }
 
     /// Logs and counts an attempt that gave no complete response.
--- a/src/serving/item_run.rs
+++ b/src/serving/item_run.rs
@@ -116,14 +116,14 @@
     /// An item that produces events is not suspected: it runs for seconds, and often
     /// runs beside an item that does crash the endpoint.
     fn check_for_crash(&self, begun: clock::MonotonicTime) {
-        let run = crash_watch::CutRun {
+        let run = crash_watch::InterruptedRun {
             digest: self.digest(),
             id: self.job.borrow().record.items[self.index].id.clone(),
             endpoint: self.endpoint.clone(),
             begun,
             has_head: self.has_head.get(),
         };
-        crash_watch::begin(&self.context, run);
+        crash_watch::start(&self.context, run);
     }
 
     /// Adds the run's duration to the item's slot hold time, and records the total when
