--- a/src/serving/context.rs
+++ b/src/serving/context.rs
@@ -31,7 +31,7 @@
 
 /// Age up to which heartbeats are told again: a process of a large fleet is
 /// probed some hundred times a second.
-const HELLO_AGE: time::Duration = time::Duration::from_millis(20);
+const MAX_HEARTBEAT_AGE: time::Duration = time::Duration::from_millis(20);
 
 /// How a process is run.
 #[derive(Debug, Clone)]
@@ -117,21 +117,21 @@
     /// How soon first events of a service come.
     pub firsts: cell::RefCell<collections::HashMap<ids::ServiceName, queue_limit::FirstEstimate>>,
     /// What it said of itself last, and when.
-    last_hello: cell::RefCell<Option<(clock::MonotonicTime, peers::PeerHello)>>,
+    last_heartbeat: cell::RefCell<Option<(clock::MonotonicTime, peers::HeartbeatMessage)>>,
     /// Change of the list of endpoints up to which it is worked out what is owned.
     pub(super) owned_at: cell::Cell<Option<u64>>,
     /// Whether the members were read from the store.
     pub(super) members_known: cell::Cell<bool>,
     /// Told when records of members were learned.
-    pub(super) members_news: tokio::sync::Notify,
+    pub(super) members_changed: tokio::sync::Notify,
     /// When a peer was asked for the members.
-    pub(super) members_asked: cell::Cell<Option<clock::MonotonicTime>>,
+    pub(super) members_requested_at: cell::Cell<Option<clock::MonotonicTime>>,
     /// Requests that crash endpoints.
     pub(super) crashes: crash_guard::CrashGuard,
     /// Desired states on their way from and to peers.
     pub(super) state_transfer: state_transfer::StateTransfer,
     /// Whether a peer is being asked for its list of endpoints.
-    pub(super) list_flight: single_flight::SingleFlight,
+    pub(super) endpoints_fetch: single_flight::SingleFlight,
     /// Owners of places that were asked for on behalf of a peer that is cut off.
     pub relayed: cell::RefCell<lru::LruCache<admission::PermitNumber, net::SocketAddr>>,
     /// Whether this instance is to be emptied.
@@ -199,18 +199,18 @@
             owners: cell::RefCell::default(),
             free_slots: cell::RefCell::default(),
             firsts: cell::RefCell::default(),
-            last_hello: cell::RefCell::default(),
+            last_heartbeat: cell::RefCell::default(),
             owned_at: cell::Cell::new(None),
             members_known: cell::Cell::new(false),
-            members_news: tokio::sync::Notify::new(),
-            members_asked: cell::Cell::new(None),
+            members_changed: tokio::sync::Notify::new(),
+            members_requested_at: cell::Cell::new(None),
             limiter: limiter::Limiter::default(),
             pools: cell::RefCell::new(pools),
             shares: cell::RefCell::default(),
             stamps: cell::RefCell::default(),
             crashes: crash_guard::CrashGuard::default(),
             state_transfer: state_transfer::StateTransfer::default(),
-            list_flight: single_flight::SingleFlight::default(),
+            endpoints_fetch: single_flight::SingleFlight::default(),
             relayed: cell::RefCell::new(lru::LruCache::new(MAX_RELAYED)),
             retiring: cell::Cell::new(false),
             stop_begun: cell::Cell::new(None),
@@ -290,22 +290,22 @@
     }
 
     /// What it says of itself at each probe; made anew when it is some milliseconds old.
-    pub fn hello(&self) -> peers::PeerHello {
+    pub fn heartbeat(&self) -> peers::HeartbeatMessage {
         let now = self.clock.now();
-        if let Some((at, hello)) = &*self.last_hello.borrow() {
-            if now.since(*at) < HELLO_AGE && hello.leaving == self.is_leaving() {
-                return hello.clone();
+        if let Some((at, heartbeat)) = &*self.last_heartbeat.borrow() {
+            if now.since(*at) < MAX_HEARTBEAT_AGE && heartbeat.leaving == self.is_leaving() {
+                return heartbeat.clone();
             }
         }
-        let hello = self.make_hello(now);
-        *self.last_hello.borrow_mut() = Some((now, hello.clone()));
-        hello
+        let heartbeat = self.make_heartbeat(now);
+        *self.last_heartbeat.borrow_mut() = Some((now, heartbeat.clone()));
+        heartbeat
     }
 
-    fn make_hello(&self, now: clock::MonotonicTime) -> peers::PeerHello {
+    fn make_heartbeat(&self, now: clock::MonotonicTime) -> peers::HeartbeatMessage {
         let members = self.members.borrow();
-        let heard = members.heard_dispatchers(now);
-        peers::PeerHello {
+        let heard = members.live_dispatchers(now);
+        peers::HeartbeatMessage {
             id: self.id().clone(),
             run: self.run.run,
             address: self.options.member.address,
@@ -313,7 +313,7 @@
             version: self.fleet.table().version(),
             revision: self.fleet.revision(),
             digest: self.fleet.digest(),
-            receives_from: heard.iter().map(members::MemberMark::of).collect(),
+            receives_from: heard.iter().map(members::MemberHash::of).collect(),
             follows_store: self.fleet.is_following() && self.members_known.get(),
             members: members.digest(&self.options.member),
             crashes: self.crashes.number(),
--- a/src/serving/crash_guard.rs
+++ b/src/serving/crash_guard.rs
@@ -208,7 +208,7 @@
 /// as one may be turned away by the store.
 fn is_writer(context: &context::ProcessContext) -> bool {
     let owners = context.owners();
-    let mut writers = owners.iter().take(members::FOLLOWERS);
+    let mut writers = owners.iter().take(members::STORE_FOLLOWERS);
     writers.any(|owner| owner.id == *context.id())
 }
 
@@ -217,12 +217,12 @@
 pub(super) fn learn(
     context: &rc::Rc<context::ProcessContext>,
     peer: net::SocketAddr,
-    hello: &peers::PeerHello,
+    heartbeat: &peers::HeartbeatMessage,
 ) {
     let guard = &context.crashes;
     let is_due = context.clock.now() >= guard.ask_at.get();
-    if is_due && hello.crashes != guard.number() {
-        let id = hello.id.clone();
+    if is_due && heartbeat.crashes != guard.number() {
+        let id = heartbeat.id.clone();
         actix_rt::spawn(send_request(context.clone(), peer, id));
     }
 }
@@ -236,7 +236,7 @@
     let Some(_flight) = guard.flight.begin() else {
         return;
     };
-    context.links.settle(peer).await;
+    context.links.try_connect(peer).await;
     let is_new = match context.links.crashes(peer, PULL_TIMEOUT).await {
         Ok(all) => {
             let new = all
@@ -339,7 +339,7 @@
     }
     for earlier in 0.. {
         let now = context.clock.now();
-        let hears_dispatcher = !context.members.borrow().heard_dispatchers(now).is_empty();
+        let hears_dispatcher = !context.members.borrow().live_dispatchers(now).is_empty();
         if is_gateway && hears_dispatcher {
             return;
         }
--- a/src/serving/crash_watch.rs
+++ b/src/serving/crash_watch.rs
@@ -73,7 +73,7 @@
         // Something else may have taken the connection for an endpoint that was gone.
         true if !run.has_head => None,
         true => {
-            let watching = context.fleet.other_start(&run.endpoint);
+            let watching = context.fleet.restarted(&run.endpoint);
             let seen = tokio::time::timeout(RESTART_TIME, watching).await;
             seen.is_ok().then_some(EndEvidence::StartedAgain)
         }
--- a/src/serving/directory.rs
+++ b/src/serving/directory.rs
@@ -1,4 +1,4 @@
-//! The endpoints that are listed, and what is believed of each.
+//! Directory of the listed endpoints and their state.
 
 use std::{collections, fmt, net, rc, time};
 
@@ -6,41 +6,41 @@
 
 use crate::{clock, decisions::endpoint_backoff, ids, protection};
 
-/// How long an endpoint is left out at whose address somebody else answered.
+/// Backoff of an endpoint at whose address another endpoint responded.
 ///
-/// A late write may list an endpoint that has ended beside the one that has its
-/// address now. Each request that expects it is refused there at once, so it looks
-/// fast and free, and would be chosen for one request after the other for as long as
-/// its entry stands, some 4 s. An endpoint that was refused by mistake is back within
-/// a second.
-const MISNAMED_PAUSES: endpoint_backoff::BackoffRange = endpoint_backoff::BackoffRange {
+/// A late write may list an endpoint that has ended next to the one that now has its
+/// address. Each request that expects the old one is rejected at once, so the entry looks
+/// fast and idle and would be chosen for one request after another until it expires, some
+/// 4 s. An endpoint that was rejected by mistake is available again within a second.
+const MISIDENTIFIED_BACKOFF: endpoint_backoff::BackoffRange = endpoint_backoff::BackoffRange {
     first: time::Duration::from_secs(1),
     last: time::Duration::from_secs(8),
-    // One process at a time knows of it, so nobody comes back together.
+    // Usually one process at a time knows of the mismatch, so retries need no jitter.
     spread: 0.0,
 };
 
-/// One listed endpoint.
+/// Entry of an endpoint in the list.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct EndpointEntry {
-    /// Its name; it may start again under the same one.
+    /// Name of the endpoint, which it keeps over restarts.
     pub id: ids::EndpointId,
-    /// The service that it runs.
+    /// Service that the endpoint runs.
     pub service: ids::ServiceName,
-    /// Where it is.
+    /// Address of the endpoint.
     pub address: net::SocketAddr,
-    /// Its failure domain.
+    /// Failure domain of the endpoint.
     pub domain: ids::DomainName,
-    /// Requests that it runs at once.
+    /// Number of requests that the endpoint runs concurrently.
     pub slots: u32,
-    /// Whether it is about to leave and gets no new work.
+    /// Whether the endpoint is draining and gets no new work.
     pub leaving: bool,
-    /// When it started, if its entry says so.
+    /// Start time, if the entry has one.
     pub started: Option<ids::StartTime>,
 }
 
 impl EndpointEntry {
-    /// Whether it started before another; unknown if either does not say.
+    /// Returns whether this entry is of an earlier start than another; false if either
+    /// start time is unknown.
     fn started_before(&self, other: &Self) -> bool {
         match (self.started, other.started) {
             (Some(own), Some(other)) => own < other,
@@ -49,16 +49,16 @@
     }
 }
 
-/// One change of the list.
+/// Change of one endpoint in the list.
 #[derive(Debug, Clone)]
-pub enum ListChange {
-    /// The endpoint is listed like this.
+pub enum EndpointChange {
+    /// The endpoint was added or its entry has changed.
     Listed(EndpointEntry),
-    /// The endpoint is listed no more.
+    /// The entry of the endpoint was removed.
     Removed(ids::EndpointId),
 }
 
-impl fmt::Display for ListChange {
+impl fmt::Display for EndpointChange {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Listed(entry) => write!(
@@ -77,59 +77,59 @@
     }
 }
 
-/// An entry that expired while the store was away, and when it counts as gone.
+/// State of an entry that expired during a store outage and is removed later.
 #[derive(Debug, Clone, Copy)]
-struct ExpiredMark {
-    gone_at: clock::MonotonicTime,
+struct ExpiredEntry {
+    remove_at: clock::MonotonicTime,
 }
 
-/// An entry of an earlier start than the known one, and when it is taken all the same.
+/// Entry of an earlier start than the known one, which is applied only after a delay.
 #[derive(Debug, Clone)]
-struct EarlierEntry {
+struct DelayedEntry {
     entry: EndpointEntry,
-    taken_at: clock::MonotonicTime,
+    apply_at: clock::MonotonicTime,
 }
 
-/// A run of an endpoint that has ended, as the endpoint started again.
+/// Run of an endpoint that ended because the endpoint restarted.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EndedRun {
-    /// The endpoint.
+    /// Name of the endpoint.
     pub id: ids::EndpointId,
-    /// Where it was.
+    /// Address of the ended run.
     pub address: net::SocketAddr,
 }
 
-/// When changes of a list take effect.
+/// Times at which list changes take effect.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct ChangeTerms {
-    /// When what is removed counts as gone; at once without it.
-    pub gone_at: Option<clock::MonotonicTime>,
-    /// When an entry of an earlier start than the known one is taken; at once without
-    /// it. It may be a late write of a start that has ended, or the clock of the
-    /// endpoint has stepped back. Only the latter is still there after a while.
-    pub earlier_at: Option<clock::MonotonicTime>,
+pub struct ChangeTiming {
+    /// When removed entries are dropped; at once if `None`.
+    pub remove_at: Option<clock::MonotonicTime>,
+    /// When an entry of an earlier start than the known one is applied; at once if
+    /// `None`. Such an entry is either a late write of a run that has ended, or the clock
+    /// of the endpoint was set back. Only in the latter case is the entry still there
+    /// after the delay.
+    pub apply_earlier_at: Option<clock::MonotonicTime>,
 }
 
-/// All listed endpoints.
+/// Directory of all listed endpoints.
 ///
-/// Invariants: `services` names exactly the entries of `entries` that may get new
-/// work; `hidden` names those that leave, whose address a later start holds, or
-/// whose name nobody at their address has; `doubtful` names those of the others of
-/// which it is not known whether they are the ones at their address; `digest` is of
-/// all of `entries`.
+/// Invariants: `services` holds exactly the entries of `entries` that may get new work.
+/// `unusable` names the others: those that are draining, whose address belongs to a later
+/// start, or that are backed off as misidentified. `unverified` names the usable entries
+/// whose endpoint may not be the one at their address. `digest` covers all of `entries`.
 #[derive(Debug)]
 pub struct EndpointDirectory {
     entries: collections::HashMap<ids::EndpointId, rc::Rc<EndpointEntry>>,
-    expired: collections::HashMap<ids::EndpointId, ExpiredMark>,
-    earlier: collections::HashMap<ids::EndpointId, EarlierEntry>,
-    misnamed: endpoint_backoff::EndpointBackoff,
-    hidden: collections::HashSet<ids::EndpointId>,
-    /// Endpoints that share their address and answered under their names.
-    named: collections::HashSet<ids::EndpointId>,
-    doubtful: collections::HashSet<ids::EndpointId>,
+    expired: collections::HashMap<ids::EndpointId, ExpiredEntry>,
+    earlier: collections::HashMap<ids::EndpointId, DelayedEntry>,
+    misidentified: endpoint_backoff::EndpointBackoff,
+    unusable: collections::HashSet<ids::EndpointId>,
+    /// Endpoints that share an address and have responded under their own names.
+    verified: collections::HashSet<ids::EndpointId>,
+    unverified: collections::HashSet<ids::EndpointId>,
     ended_runs: Vec<EndedRun>,
     services: collections::HashMap<ids::ServiceName, Vec<rc::Rc<EndpointEntry>>>,
-    /// See [`Self::digest`]; made anew with each change, as each probe tells it.
+    /// See [`Self::digest`]; recomputed on each change, because each probe sends it.
     digest: u64,
 }
 
@@ -139,10 +139,10 @@
             entries: collections::HashMap::new(),
             expired: collections::HashMap::new(),
             earlier: collections::HashMap::new(),
-            misnamed: endpoint_backoff::EndpointBackoff::new(MISNAMED_PAUSES),
-            hidden: collections::HashSet::new(),
-            named: collections::HashSet::new(),
-            doubtful: collections::HashSet::new(),
+            misidentified: endpoint_backoff::EndpointBackoff::new(MISIDENTIFIED_BACKOFF),
+            unusable: collections::HashSet::new(),
+            verified: collections::HashSet::new(),
+            unverified: collections::HashSet::new(),
             ended_runs: Vec::new(),
             services: collections::HashMap::new(),
             digest: 0,
@@ -151,65 +151,71 @@
 }
 
 impl EndpointDirectory {
-    /// Takes changes.
-    pub fn apply(&mut self, changes: Vec<ListChange>, terms: ChangeTerms) {
+    /// Applies changes.
+    pub fn apply(&mut self, changes: Vec<EndpointChange>, timing: ChangeTiming) {
         for change in changes {
             match change {
-                ListChange::Listed(entry) => self.take_entry(entry, terms.earlier_at),
-                ListChange::Removed(id) => self.remove(id, terms.gone_at),
+                EndpointChange::Listed(entry) => self.merge_entry(entry, timing.apply_earlier_at),
+                EndpointChange::Removed(id) => self.remove(id, timing.remove_at),
             }
         }
         self.rebuild();
     }
 
-    fn take_entry(&mut self, mut entry: EndpointEntry, earlier_at: Option<clock::MonotonicTime>) {
+    fn merge_entry(
+        &mut self,
+        mut entry: EndpointEntry,
+        apply_earlier_at: Option<clock::MonotonicTime>,
+    ) {
         entry.leaving &= !protection::is_disabled("leaving_endpoint");
         let known = self.entries.get(&entry.id);
-        if let (Some(known), Some(taken_at)) = (known, earlier_at) {
+        if let (Some(known), Some(apply_at)) = (known, apply_earlier_at) {
             if entry.started_before(known) {
                 let mut known = (**known).clone();
-                // To leave is believed of either: nothing is lost by it but a moment.
+                // Draining is accepted from either run: a wrong mark only delays new
+                // work.
                 known.leaving |= entry.leaving;
-                self.hold_back(entry, taken_at);
-                self.put(known);
+                self.delay_entry(entry, apply_at);
+                self.insert(known);
                 return;
             }
         }
         self.earlier.remove(&entry.id);
-        self.put(entry);
+        self.insert(entry);
     }
 
-    /// Keeps an entry of an earlier start until it is clear that it is no late write.
-    fn hold_back(&mut self, entry: EndpointEntry, taken_at: clock::MonotonicTime) {
+    /// Keeps an entry of an earlier start until it is certain that it is not a late
+    /// write.
+    fn delay_entry(&mut self, entry: EndpointEntry, apply_at: clock::MonotonicTime) {
         let id = entry.id.clone();
-        let held = EarlierEntry { entry, taken_at };
-        let known = self.earlier.entry(id).or_insert_with(|| held.clone());
-        if known.entry != held.entry {
-            *known = held;
+        let delayed = DelayedEntry { entry, apply_at };
+        let known = self.earlier.entry(id).or_insert_with(|| delayed.clone());
+        if known.entry != delayed.entry {
+            *known = delayed;
         }
     }
 
-    /// Lists an entry; notes the run that it ends, if it is of another start.
-    fn put(&mut self, entry: EndpointEntry) {
+    /// Inserts an entry, and records the previous run as ended if the start time differs.
+    fn insert(&mut self, entry: EndpointEntry) {
         self.expired.remove(&entry.id);
-        // Whoever is named in it writes it, and so is there.
-        self.misnamed.forget(&entry.id);
-        self.named.remove(&entry.id);
-        let before = self.entries.get(&entry.id);
-        if let Some(before) = before.filter(|before| before.started != entry.started) {
+        // A fresh entry shows that its endpoint is alive at this address.
+        self.misidentified.forget(&entry.id);
+        self.verified.remove(&entry.id);
+        let previous = self.entries.get(&entry.id);
+        if let Some(previous) = previous.filter(|previous| previous.started != entry.started) {
             self.ended_runs.push(EndedRun {
-                id: before.id.clone(),
-                address: before.address,
+                id: previous.id.clone(),
+                address: previous.address,
             });
         }
         self.entries.insert(entry.id.clone(), rc::Rc::new(entry));
     }
 
-    fn remove(&mut self, id: ids::EndpointId, gone_at: Option<clock::MonotonicTime>) {
+    fn remove(&mut self, id: ids::EndpointId, remove_at: Option<clock::MonotonicTime>) {
         self.earlier.remove(&id);
-        match gone_at {
-            Some(gone_at) if self.entries.contains_key(&id) => {
-                self.expired.entry(id).or_insert(ExpiredMark { gone_at });
+        match remove_at {
+            Some(remove_at) if self.entries.contains_key(&id) => {
+                self.expired.entry(id).or_insert(ExpiredEntry { remove_at });
             }
             _ => {
                 self.entries.remove(&id);
@@ -218,15 +224,15 @@
         }
     }
 
-    /// The runs that ended since they were last asked for, as their endpoints started again.
+    /// Takes the runs that have ended by a restart since the last call.
     pub fn take_ended_runs(&mut self) -> Vec<EndedRun> {
         std::mem::take(&mut self.ended_runs)
     }
 
-    /// Notes that nobody of this name is at an endpoint's address, as who is there
-    /// says; it gets no work for a while, or until its entry is written again. Says
-    /// whether that is new.
-    pub fn record_misnamed(
+    /// Records that another endpoint responded at the address of this one, which then
+    /// gets no work until its backoff ends or its entry is written again. Returns whether
+    /// the endpoint was not backed off before.
+    pub fn record_misidentified(
         &mut self,
         id: &ids::EndpointId,
         started: Option<ids::StartTime>,
@@ -236,94 +242,106 @@
         if known.is_none_or(|known| known.started != started) {
             return false;
         }
-        let is_new = self.misnamed.record(id, now, &mut rand::rng());
+        let is_new = self.misidentified.record(id, now, &mut rand::rng());
         if is_new {
             self.rebuild();
         }
         is_new
     }
 
-    /// Notes that an endpoint answered under its name; says whether that was in doubt.
-    pub fn record_named(&mut self, id: &ids::EndpointId) -> bool {
-        if !self.doubtful.contains(id) {
+    /// Records that an endpoint responded under its own name. Returns whether it was
+    /// unverified.
+    pub fn record_verified(&mut self, id: &ids::EndpointId) -> bool {
+        if !self.unverified.contains(id) {
             return false;
         }
-        self.misnamed.forget(id);
-        self.named.insert(id.clone());
+        self.misidentified.forget(id);
+        self.verified.insert(id.clone());
         self.rebuild();
         true
     }
 
-    /// Endpoints of which it is not known whether they are the ones at their address:
-    /// one request at a time is enough to learn it.
-    pub fn doubtful(&self) -> &collections::HashSet<ids::EndpointId> {
-        &self.doubtful
+    /// Returns the usable endpoints that may not be the ones at their address. They get
+    /// one request at a time, which is enough to find out.
+    pub fn unverified(&self) -> &collections::HashSet<ids::EndpointId> {
+        &self.unverified
     }
 
-    /// The changes that lead from this list to a whole one.
-    pub fn changes_to(&self, entries: Vec<EndpointEntry>) -> Vec<ListChange> {
+    /// Returns the changes that turn this list into a given one.
+    pub fn changes_to(&self, entries: Vec<EndpointEntry>) -> Vec<EndpointChange> {
         let listed: collections::HashSet<_> = entries.iter().map(|e| e.id.clone()).collect();
         let missing = self.entries.keys().filter(|id| !listed.contains(*id));
-        let removed: Vec<_> = missing.cloned().map(ListChange::Removed).collect();
+        let removed: Vec<_> = missing.cloned().map(EndpointChange::Removed).collect();
         let is_new = |entry: &EndpointEntry| {
             let known = self.entries.get(&entry.id);
             known.is_none_or(|k| **k != *entry) || self.expired.contains_key(&entry.id)
         };
-        let changed = entries.into_iter().filter(is_new).map(ListChange::Listed);
+        let changed = entries
+            .into_iter()
+            .filter(is_new)
+            .map(EndpointChange::Listed);
         removed.into_iter().chain(changed).collect()
     }
 
-    /// The entries of a peer's list that are to be taken.
+    /// Returns the entries of a peer's list that are to be applied.
     ///
-    /// What the peer keeps though it is removed may be removed for good here: it must
-    /// not come back, and get requests, long after it is gone. Who has it still keeps it
-    /// as long as the peer; so does who has no list yet, and would serve nobody else.
-    pub fn accept(&self, copy: DirectorySnapshot) -> Vec<EndpointEntry> {
-        let expired: collections::HashSet<_> = copy.expired.into_iter().collect();
-        let is_taken = |entry: &EndpointEntry| {
+    /// An entry that the peer keeps after its expiry may already be removed here; adding
+    /// it again would send requests to an endpoint that is gone. A process that still has
+    /// the entry keeps it as long as the peer does. A process with an empty list accepts
+    /// all entries, because it could serve nothing otherwise.
+    pub fn filter_peer_entries(&self, snapshot: DirectorySnapshot) -> Vec<EndpointEntry> {
+        let expired: collections::HashSet<_> = snapshot.expired.into_iter().collect();
+        let is_accepted = |entry: &EndpointEntry| {
             let is_known = self.is_empty() || self.entries.contains_key(&entry.id);
             is_known || !expired.contains(&entry.id)
         };
-        let mut entries = copy.entries;
-        entries.retain(is_taken);
+        let mut entries = snapshot.entries;
+        entries.retain(is_accepted);
         entries
     }
 
-    /// Names of the entries that are removed, and may come back.
+    /// Returns the names of the expired entries that may still be renewed.
     pub fn expired(&self) -> Vec<ids::EndpointId> {
         self.expired.keys().cloned().collect()
     }
 
-    /// Lets the entries that expired come back until `gone_at`.
-    pub fn keep_expired(&mut self, gone_at: clock::MonotonicTime) {
-        for mark in self.expired.values_mut() {
-            mark.gone_at = gone_at;
+    /// Keeps all expired entries until `remove_at`.
+    pub fn extend_expired(&mut self, remove_at: clock::MonotonicTime) {
+        for expired in self.expired.values_mut() {
+            expired.remove_at = remove_at;
         }
     }
 
-    /// Removes the expired entries whose time is over; says whether there were any.
-    pub fn expire(&mut self, now: clock::MonotonicTime) -> bool {
-        let over = self.expired.iter().filter(|(_, mark)| mark.gone_at <= now);
-        let over: Vec<_> = over.map(|(id, _)| id.clone()).collect();
-        for id in &over {
+    /// Removes the expired entries whose grace period has ended. Returns whether there
+    /// were any.
+    pub fn remove_expired(&mut self, now: clock::MonotonicTime) -> bool {
+        let due = self
+            .expired
+            .iter()
+            .filter(|(_, expired)| expired.remove_at <= now);
+        let due: Vec<_> = due.map(|(id, _)| id.clone()).collect();
+        for id in &due {
             self.expired.remove(id);
             self.entries.remove(id);
         }
-        if !over.is_empty() {
+        if !due.is_empty() {
             self.rebuild();
         }
-        !over.is_empty()
+        !due.is_empty()
     }
 
-    /// Takes the entries of earlier starts that are still there, so that they are no
-    /// late writes; says whether there were any.
-    pub fn take_earlier(&mut self, now: clock::MonotonicTime) -> bool {
-        let due = self.earlier.values().filter(|held| held.taken_at <= now);
-        let due: Vec<_> = due.map(|held| held.entry.clone()).collect();
+    /// Applies the delayed entries of earlier starts that were not overwritten meanwhile,
+    /// so they are not late writes. Returns whether there were any.
+    pub fn apply_earlier(&mut self, now: clock::MonotonicTime) -> bool {
+        let due = self
+            .earlier
+            .values()
+            .filter(|delayed| delayed.apply_at <= now);
+        let due: Vec<_> = due.map(|delayed| delayed.entry.clone()).collect();
         for entry in &due {
             self.earlier.remove(&entry.id);
             if self.entries.contains_key(&entry.id) {
-                self.put(entry.clone());
+                self.insert(entry.clone());
             }
         }
         if !due.is_empty() {
@@ -332,24 +350,24 @@
         !due.is_empty()
     }
 
-    /// Lets endpoints be tried again that were not at their address a while ago;
-    /// says whether there were any.
-    pub fn retry_misnamed(&mut self, now: clock::MonotonicTime) -> bool {
-        let is_due = self.misnamed.expire(now);
-        if is_due {
+    /// Makes misidentified endpoints usable again after their backoff. Returns whether
+    /// there were any.
+    pub fn retry_misidentified(&mut self, now: clock::MonotonicTime) -> bool {
+        let is_retried = self.misidentified.expire(now);
+        if is_retried {
             self.rebuild();
         }
-        is_due
+        is_retried
     }
 
     fn rebuild(&mut self) {
-        self.hidden = self.find_hidden();
-        self.doubtful = self.find_doubtful();
+        self.unusable = self.find_unusable();
+        self.unverified = self.find_unverified();
         let entries = &self.entries;
-        self.named.retain(|id| entries.contains_key(id));
+        self.verified.retain(|id| entries.contains_key(id));
         self.services.clear();
         for entry in self.entries.values() {
-            if self.hidden.contains(&entry.id) {
+            if self.unusable.contains(&entry.id) {
                 continue;
             }
             let list = self.services.entry(entry.service.clone()).or_default();
@@ -358,35 +376,37 @@
         for list in self.services.values_mut() {
             list.sort_by(|a, b| a.id.cmp(&b.id));
         }
-        let numbers = self.entries.values().map(|entry| {
+        let hashes = self.entries.values().map(|entry| {
             let text = format!("{entry:?}");
             xxh3::xxh3_64(text.as_bytes())
         });
-        self.digest = numbers.fold(0, u64::wrapping_add);
+        self.digest = hashes.fold(0, u64::wrapping_add);
     }
 
-    /// The entries that may get work, and may not be the ones at their address: they
-    /// were refused there lately, or share it with another one.
-    fn find_doubtful(&self) -> collections::HashSet<ids::EndpointId> {
-        let mut sharers: collections::HashMap<_, usize> = collections::HashMap::new();
+    /// Returns the usable entries that may not be the ones at their address: they share
+    /// it with another entry, or were rejected there recently.
+    fn find_unverified(&self) -> collections::HashSet<ids::EndpointId> {
+        let mut address_counts: collections::HashMap<_, usize> = collections::HashMap::new();
         for entry in self.all_usable() {
-            *sharers.entry(entry.address).or_default() += 1;
+            *address_counts.entry(entry.address).or_default() += 1;
         }
-        let is_doubtful = |entry: &&rc::Rc<EndpointEntry>| {
-            let is_shared = sharers.get(&entry.address).is_some_and(|count| *count > 1);
-            let is_unproved = is_shared && !self.named.contains(&entry.id);
-            is_unproved || self.misnamed.contains(&entry.id)
+        let is_unverified = |entry: &&rc::Rc<EndpointEntry>| {
+            let is_shared = address_counts
+                .get(&entry.address)
+                .is_some_and(|count| *count > 1);
+            let is_shared_unverified = is_shared && !self.verified.contains(&entry.id);
+            is_shared_unverified || self.misidentified.contains(&entry.id)
         };
-        let doubtful = self.all_usable().filter(is_doubtful);
-        doubtful.map(|entry| entry.id.clone()).collect()
+        let unverified = self.all_usable().filter(is_unverified);
+        unverified.map(|entry| entry.id.clone()).collect()
     }
 
-    /// The entries that may get no new work.
-    fn find_hidden(&self) -> collections::HashSet<ids::EndpointId> {
+    /// Returns the entries that get no new work.
+    fn find_unusable(&self) -> collections::HashSet<ids::EndpointId> {
         let mut latest: collections::HashMap<_, &rc::Rc<EndpointEntry>> =
             collections::HashMap::new();
         for entry in self.entries.values() {
-            if entry.started.is_none() || self.misnamed.is_backed_off(&entry.id) {
+            if entry.started.is_none() || self.misidentified.is_backed_off(&entry.id) {
                 continue;
             }
             let holder = latest.entry(entry.address).or_insert(entry);
@@ -394,68 +414,68 @@
                 *holder = entry;
             }
         }
-        let is_hidden = |entry: &&rc::Rc<EndpointEntry>| {
+        let is_unusable = |entry: &&rc::Rc<EndpointEntry>| {
             let holder = latest.get(&entry.address);
             entry.leaving
-                || self.misnamed.is_backed_off(&entry.id)
+                || self.misidentified.is_backed_off(&entry.id)
                 || holder.is_some_and(|holder| entry.started_before(holder))
         };
-        let hidden = self.entries.values().filter(is_hidden);
-        hidden.map(|entry| entry.id.clone()).collect()
+        let unusable = self.entries.values().filter(is_unusable);
+        unusable.map(|entry| entry.id.clone()).collect()
     }
 
-    /// Endpoints of a service that may get new work, by name.
+    /// Returns the endpoints of a service that may get new work, sorted by name.
     pub fn of_service(&self, service: &ids::ServiceName) -> &[rc::Rc<EndpointEntry>] {
         self.services.get(service).map_or(&[], Vec::as_slice)
     }
 
-    /// An endpoint, if it may get new work.
+    /// Returns an endpoint if it may get new work.
     pub fn usable(&self, id: &ids::EndpointId) -> Option<&rc::Rc<EndpointEntry>> {
         self.entries
             .get(id)
-            .filter(|e| !self.hidden.contains(&e.id))
+            .filter(|e| !self.unusable.contains(&e.id))
     }
 
-    /// All endpoints that may get new work.
+    /// Returns all endpoints that may get new work.
     pub fn all_usable(&self) -> impl Iterator<Item = &rc::Rc<EndpointEntry>> {
         let entries = self.entries.values();
-        entries.filter(|entry| !self.hidden.contains(&entry.id))
+        entries.filter(|entry| !self.unusable.contains(&entry.id))
     }
 
-    /// Whether an endpoint is listed with another start than the one given.
+    /// Returns whether an endpoint is listed with another start time than the given one.
     pub fn has_other_start(&self, id: &ids::EndpointId, started: Option<ids::StartTime>) -> bool {
         self.entries.get(id).is_some_and(|e| e.started != started)
     }
 
-    /// All entries, leaving ones included.
+    /// Returns all entries, including unusable ones.
     pub fn entries(&self) -> impl Iterator<Item = &rc::Rc<EndpointEntry>> {
         self.entries.values()
     }
 
-    /// A number that differs for lists that differ.
+    /// Returns a digest of all entries; equal lists have equal digests.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// Number of entries.
+    /// Returns the number of entries.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether no endpoint is listed.
+    /// Returns whether no endpoint is listed.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 }
 
-/// A list as it is told between processes.
+/// Snapshot of the list for transfer between processes.
 #[derive(Debug, Clone, Default, serde::Serialize, serde::Deserialize)]
 pub struct DirectorySnapshot {
-    /// Its number, see [`super::fleet_model::FleetModel::revision`].
+    /// Revision of the list, see [`super::fleet_model::FleetModel::revision`].
     pub revision: u64,
-    /// The entries.
+    /// All entries, including expired ones.
     pub entries: Vec<EndpointEntry>,
-    /// Names of those that are removed, and are kept for a while as they may have
-    /// expired in an absence of the store.
+    /// Names of removed entries that are kept for a grace period because they may have
+    /// expired during a store outage.
     pub expired: Vec<ids::EndpointId>,
 }
--- a/src/serving/endpoint_reports.rs
+++ b/src/serving/endpoint_reports.rs
@@ -1,25 +1,25 @@
-//! What an endpoint says of itself, or does, corrects what is believed of it.
+//! Observations of endpoints that correct their recorded state.
 //!
-//! Who sees it uses it at once, and tells the owner that gave the place, so that
-//! the next one who asks is not sent there.
+//! The process that makes an observation applies it at once and reports it to the owner
+//! that granted the slot, so that the owner does not send the next request there.
 
 use std::net;
 
 use super::{context, directory, peer_calls, peers};
 use crate::{decisions::health, outcome};
 
-/// Who gave the place at which something was seen.
+/// Grantor of the slot in which an observation was made.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum SlotGrantor {
-    /// Nobody: it was taken on this process's own counts.
+    /// No owner was involved: the slot was taken on the counts of this process.
     Nobody,
-    /// This process owns the endpoint.
+    /// This process, as the owner of the endpoint.
     Here,
-    /// Another process does, or has it from the owner.
+    /// A peer that owns the endpoint, or relays for the owner.
     Peer(net::SocketAddr),
 }
 
-/// A failure of an endpoint, as this process saw it.
+/// Returns the observation of a failure by this process.
 pub(super) fn failure(
     context: &context::ProcessContext,
     is_silent: bool,
@@ -30,8 +30,8 @@
     })
 }
 
-/// What an attempt that did not run says of its endpoint.
-pub(super) fn of_refusal(
+/// Returns the observation that follows from an attempt that did not run.
+pub(super) fn from_refusal(
     context: &context::ProcessContext,
     reason: outcome::NotRunReason,
 ) -> Option<peers::EndpointObservation> {
@@ -45,7 +45,7 @@
     }
 }
 
-/// Takes what was seen at an endpoint, and tells it to who gave the place there.
+/// Applies an observation and reports it to the grantor of the slot.
 pub(super) fn record(
     context: &context::ProcessContext,
     endpoint: &directory::EndpointEntry,
@@ -56,10 +56,10 @@
     let is_outdated = directory.has_other_start(&endpoint.id, endpoint.started);
     drop(directory);
     if is_outdated {
-        // It was seen at a run that has ended.
+        // The observation is of a run that has ended.
         return;
     }
-    take(context, endpoint, &observation);
+    apply(context, endpoint, &observation);
     let report = peers::EndpointReport {
         endpoint: endpoint.id.clone(),
         started: endpoint.started,
@@ -67,12 +67,12 @@
     };
     match grantor {
         SlotGrantor::Nobody => {}
-        SlotGrantor::Here => peer_calls::take_report(context, &report),
+        SlotGrantor::Here => peer_calls::apply_report(context, &report),
         SlotGrantor::Peer(owner) => context.links.report(owner, report),
     }
 }
 
-fn take(
+fn apply(
     context: &context::ProcessContext,
     endpoint: &directory::EndpointEntry,
     observation: &peers::EndpointObservation,
@@ -88,12 +88,12 @@
         peers::EndpointObservation::Misnamed => {
             context
                 .fleet
-                .record_misnamed(&endpoint.id, endpoint.started);
+                .record_misidentified(&endpoint.id, endpoint.started);
         }
     }
 }
 
-/// Counts an attempt that an endpoint refused, or that found none, by its reason.
+/// Counts an attempt that an endpoint refused or that reached none, by reason.
 pub(super) fn count_refusal(context: &context::ProcessContext, reason: outcome::NotRunReason) {
     let label = reason.to_string();
     let refusals = &context.metrics.refusals;
--- a/src/serving/event_flow.rs
+++ b/src/serving/event_flow.rs
@@ -83,7 +83,7 @@
         let read = tokio::select! {
             biased;
             read = reading => read,
-            () = self.time_over() => return Err(FinalError::Late),
+            () = self.sleep_remaining() => return Err(FinalError::Late),
         };
         let body = read.map_err(|e| FinalError::Failed(e.to_string()))?;
         let response = self.whole(&answered.open.incoming.head, body);
--- a/src/serving/fleet_model.rs
+++ b/src/serving/fleet_model.rs
@@ -1,4 +1,4 @@
-//! What a process believes of the desired state and the endpoints.
+//! State of the fleet as this process knows it: the desired state and the endpoints.
 
 use std::{cell, collections, rc, sync, time};
 
@@ -8,138 +8,142 @@
 use super::{directory, fleet_source, route_table};
 use crate::{clock, ids, protection};
 
-/// How long after the store's return an entry that expired meanwhile may still come back.
+/// Grace period after a store outage in which an entry that expired during the outage may
+/// be renewed.
 const EXPIRY_GRACE: time::Duration = time::Duration::from_millis(2500);
-/// Absence of the store in which endpoints may expire though they are alive.
+/// Minimum duration of a store outage in which live endpoints may expire.
 ///
-/// They show themselves about every second and expire after three times that, so a
-/// shorter one, as a call that failed by itself, costs none of them its entry:
-/// what is removed after it is gone, and callers need not be sent there for the
-/// 2.5 s in which an entry may come back.
-const LONG_ABSENCE: time::Duration = time::Duration::from_secs(1);
-/// How long an entry of an earlier start than the known one must stand to be taken.
+/// Endpoints renew their entries about every second and expire after three times that, so
+/// a shorter outage, such as a single failed call, expires no live endpoint. What is
+/// removed after it is gone, and requests need not be sent there for the 2.5 s of the
+/// grace period.
+const MIN_OUTAGE: time::Duration = time::Duration::from_secs(1);
+/// Delay before an entry of an earlier start than the known one is applied.
 ///
-/// Guards the views of the later start against a late write of the earlier one:
-/// an endpoint that lives writes its entry again within 1.2 s. One whose clock
-/// stepped back is there under the same name meanwhile, and serves.
-const EARLIER_HOLD: time::Duration = time::Duration::from_millis(2500);
-/// How long the store must have answered before a removal is taken at its word.
-const SETTLED_AFTER: time::Duration = time::Duration::from_secs(3);
-/// Lists that one revision of the store can stand for, see [`FleetModel::revision`].
+/// It protects the entry of the later start against a late write of the earlier one: a
+/// live endpoint renews its entry within 1.2 s. An endpoint whose clock was set back
+/// keeps serving under the same name meanwhile.
+const EARLIER_ENTRY_DELAY: time::Duration = time::Duration::from_millis(2500);
+/// Time for which the store must have responded before removals take effect at once.
+const STABLE_AFTER: time::Duration = time::Duration::from_secs(3);
+/// Number of list revisions per revision of the store, see [`FleetModel::revision`].
 ///
-/// Entries that expired in one absence of the store are given up together, so
-/// few are used; a count of the store stays far below the bound that is left.
+/// Entries that expired in one store outage are removed together, so few are used; store
+/// revisions stay far below the bound that this leaves.
 const LISTS_PER_REVISION: u64 = 1000;
 
-/// The views of a process.
+/// Fleet state of a process.
 ///
-/// Invariants: the version of the desired state never goes down, nor does
-/// `number`; the list of endpoints reflects all that its number stands for.
+/// Invariants: neither the version of the desired state nor `list_revision` ever
+/// decreases; the list of endpoints reflects everything up to its revision.
 pub struct FleetModel {
     clock: sync::Arc<dyn clock::MonotonicClock>,
     table: cell::RefCell<rc::Rc<route_table::RouteTable>>,
-    /// The endpoints.
+    /// Directory of endpoints.
     pub directory: cell::RefCell<directory::EndpointDirectory>,
     /// See [`Self::revision`].
-    number: cell::Cell<u64>,
-    is_answering: cell::Cell<bool>,
-    /// When a call failed first while the source is away, or last was.
-    away_since: cell::Cell<Option<clock::MonotonicTime>>,
-    /// When the source answered last.
-    answered_at: cell::Cell<Option<clock::MonotonicTime>>,
-    /// When the source came back from its last long absence, if there was one.
-    returned_at: cell::Cell<Option<clock::MonotonicTime>>,
-    follows: cell::Cell<bool>,
+    list_revision: cell::Cell<u64>,
+    is_source_responding: cell::Cell<bool>,
+    /// When the first call failed in the current or last outage of the source.
+    unreachable_since: cell::Cell<Option<clock::MonotonicTime>>,
+    /// Time of the last response of the source.
+    last_response_at: cell::Cell<Option<clock::MonotonicTime>>,
+    /// When the source recovered from its last long outage, if there was one.
+    recovered_at: cell::Cell<Option<clock::MonotonicTime>>,
+    follows_store: cell::Cell<bool>,
     retiring: cell::RefCell<collections::BTreeSet<ids::InstanceId>>,
-    /// Objects of the store that could not be read.
+    /// Number of objects of the store that could not be read.
     unreadable: cell::Cell<u64>,
     changes: watch::Sender<u64>,
-    returned: Notify,
+    source_recovery: Notify,
 }
 
 impl FleetModel {
-    /// A model that knows nothing yet.
+    /// Creates a model without any state.
     pub fn new(clock: sync::Arc<dyn clock::MonotonicClock>) -> Self {
         Self {
             clock,
             table: cell::RefCell::default(),
             directory: cell::RefCell::default(),
-            number: cell::Cell::new(0),
-            is_answering: cell::Cell::new(false),
-            away_since: cell::Cell::new(None),
-            answered_at: cell::Cell::new(None),
-            returned_at: cell::Cell::new(None),
-            follows: cell::Cell::new(true),
+            list_revision: cell::Cell::new(0),
+            is_source_responding: cell::Cell::new(false),
+            unreachable_since: cell::Cell::new(None),
+            last_response_at: cell::Cell::new(None),
+            recovered_at: cell::Cell::new(None),
+            follows_store: cell::Cell::new(true),
             retiring: cell::RefCell::default(),
             unreadable: cell::Cell::new(0),
             changes: watch::Sender::new(0),
-            returned: Notify::new(),
+            source_recovery: Notify::new(),
         }
     }
 
-    /// The desired state in force.
+    /// Returns the active desired state.
     pub fn table(&self) -> rc::Rc<route_table::RouteTable> {
         self.table.borrow().clone()
     }
 
-    /// Whether enough is known to serve.
+    /// Returns whether enough is known to serve requests.
     pub fn is_known(&self) -> bool {
         self.table.borrow().is_known() && !self.directory.borrow().is_empty()
     }
 
-    /// Number of the list of endpoints, which is higher for a newer one.
+    /// Returns the revision of the list of endpoints.
     ///
-    /// It is a thousand times the revision of the store, and the times since
-    /// then that expired entries were given up, which the store does not count.
+    /// It is the store revision times 1000, plus the number of local changes since then:
+    /// removals of expired entries and delayed entries that were applied, which the store
+    /// does not count.
     pub fn revision(&self) -> u64 {
-        self.number.get()
+        self.list_revision.get()
     }
 
-    /// The revision of the store that the list reflects.
+    /// Returns the store revision that the list reflects.
     fn store_revision(&self) -> u64 {
-        self.number.get() / LISTS_PER_REVISION
+        self.list_revision.get() / LISTS_PER_REVISION
     }
 
-    /// A number that differs for lists of endpoints that differ.
+    /// Returns a digest of the list of endpoints; equal lists have equal digests.
     pub fn digest(&self) -> u64 {
         self.directory.borrow().digest()
     }
 
-    /// Whether the source answers, or a peer that follows it does.
+    /// Returns whether the source responds, or this process gets its state from peers.
     pub fn is_reachable(&self) -> bool {
-        !self.follows.get() || self.is_answering.get()
+        !self.follows_store.get() || self.is_source_responding.get()
     }
 
-    /// Whether this process follows the source itself, and the source answers.
+    /// Returns whether this process watches the source itself and the source responds.
     pub fn is_following(&self) -> bool {
-        self.follows.get() && self.is_answering.get()
+        self.follows_store.get() && self.is_source_responding.get()
     }
 
-    /// Whether this process is to follow the source itself, and not through its peers.
-    pub fn follows(&self) -> bool {
-        self.follows.get()
+    /// Returns whether this process is configured to watch the source itself instead of
+    /// relying on peers.
+    pub fn follows_store(&self) -> bool {
+        self.follows_store.get()
     }
 
-    /// Says whether this process is to follow the source itself.
-    pub fn set_follows(&self, follows: bool) {
-        if self.follows.replace(follows) != follows {
+    /// Sets whether this process watches the source itself.
+    pub fn set_follows_store(&self, follows: bool) {
+        if self.follows_store.replace(follows) != follows {
             log::info!("event=follows_store now={follows}");
         }
     }
 
-    /// Resolves when the source answers again after it failed: a watch that was
-    /// under way meanwhile may be dead without a reset, and is made anew.
-    pub async fn source_return(&self) {
-        self.returned.notified().await;
+    /// Resolves when the source responds again after a failure. A watch that was open
+    /// during the outage may be dead without a reset and has to be reopened.
+    pub async fn source_recovered(&self) {
+        self.source_recovery.notified().await;
     }
 
-    /// Counts the changes of the endpoints and the orders.
+    /// Subscribes to the counter of changes of the endpoints, the desired state and the
+    /// retirements.
     pub fn subscribe(&self) -> watch::Receiver<u64> {
         self.changes.subscribe()
     }
 
-    /// Resolves when an endpoint is listed with another start than the one that is known.
-    pub async fn other_start(&self, endpoint: &directory::EndpointEntry) {
+    /// Resolves when an endpoint is listed with another start time than the given one.
+    pub async fn restarted(&self, endpoint: &directory::EndpointEntry) {
         let mut changes = self.subscribe();
         let is_listed = || {
             let directory = self.directory.borrow();
@@ -152,13 +156,13 @@
         }
     }
 
-    /// Number of the latest change of the endpoints or the orders.
+    /// Returns the number of the latest change, see [`Self::subscribe`].
     pub fn change_number(&self) -> u64 {
         *self.changes.borrow()
     }
 
-    /// The list of endpoints, for a peer.
-    pub fn copy(&self) -> directory::DirectorySnapshot {
+    /// Returns a snapshot of the list of endpoints for a peer.
+    pub fn snapshot(&self) -> directory::DirectorySnapshot {
         let directory = self.directory.borrow();
         let entries = directory.entries().map(|e| (**e).clone()).collect();
         directory::DirectorySnapshot {
@@ -168,48 +172,49 @@
         }
     }
 
-    /// Instances that are to be emptied.
+    /// Returns the instances that are to be drained.
     pub fn retiring(&self) -> collections::BTreeSet<ids::InstanceId> {
         self.retiring.borrow().clone()
     }
 
-    /// Takes news, from the source or a peer.
-    pub fn take(&self, update: fleet_source::FleetUpdate) {
-        use fleet_source::FleetUpdate as N;
+    /// Applies an update from the source or a peer.
+    pub fn apply(&self, update: fleet_source::FleetUpdate) {
+        use fleet_source::FleetUpdate as U;
 
         match update {
-            N::State(state) => self.take_state(state),
-            N::Endpoints(revision, entries) => {
-                let number = revision.saturating_mul(LISTS_PER_REVISION);
+            U::State(state) => self.apply_state(state),
+            U::Endpoints(revision, entries) => {
+                let list_revision = revision.saturating_mul(LISTS_PER_REVISION);
                 if revision >= self.store_revision() {
-                    self.take_list(number, entries, self.change_terms());
+                    self.apply_list(list_revision, entries, self.change_timing());
                 }
             }
-            N::PeerEndpoints(copy) => {
-                let number = copy.revision;
-                // Of two answers that cross, the later may be the older.
-                if number < self.revision() {
-                    log::info!("event=older_endpoints_refused revision={number}");
+            U::PeerEndpoints(snapshot) => {
+                let list_revision = snapshot.revision;
+                // Responses of two peers may arrive out of order.
+                if list_revision < self.revision() {
+                    log::info!("event=older_endpoints_refused revision={list_revision}");
                     return;
                 }
-                // The peer waits for what may come back, so this process need not.
-                let entries = self.directory.borrow().accept(copy);
-                self.take_list(number, entries, directory::ChangeTerms::default());
+                // The peer applies the grace period to expired entries, so this process
+                // need not.
+                let entries = self.directory.borrow().filter_peer_entries(snapshot);
+                self.apply_list(list_revision, entries, directory::ChangeTiming::default());
             }
-            N::EndpointChanges(revision, changes) => {
-                // All of them are in the list already, and newer ones besides.
+            U::EndpointChanges(revision, changes) => {
+                // The list already contains these changes, and newer ones.
                 if revision < self.store_revision() {
                     log::info!("event=older_changes_refused revision={revision}");
                     return;
                 }
-                let number = revision.saturating_mul(LISTS_PER_REVISION);
-                self.take_changes(number, changes, self.change_terms());
+                let list_revision = revision.saturating_mul(LISTS_PER_REVISION);
+                self.apply_changes(list_revision, changes, self.change_timing());
             }
-            N::Reachable(reachable) => self.record_reachable(reachable),
-            N::Answered => self.answered_at.set(Some(self.clock.now())),
-            N::Returned => self.returned.notify_waiters(),
-            N::Unreadable => self.unreadable.set(self.unreadable.get() + 1),
-            N::Retire(id) => {
+            U::Reachable(reachable) => self.record_reachable(reachable),
+            U::Responded => self.last_response_at.set(Some(self.clock.now())),
+            U::Recovered => self.source_recovery.notify_waiters(),
+            U::Unreadable => self.unreadable.set(self.unreadable.get() + 1),
+            U::Retire(id) => {
                 log::info!("event=retirement_asked instance={id}");
                 self.retiring.borrow_mut().insert(id);
                 self.changes.send_modify(|n| *n += 1);
@@ -217,12 +222,12 @@
         }
     }
 
-    /// Takes a whole list that has a number.
-    fn take_list(
+    /// Applies a complete list that has the given revision.
+    fn apply_list(
         &self,
-        number: u64,
+        list_revision: u64,
         entries: Vec<directory::EndpointEntry>,
-        terms: directory::ChangeTerms,
+        terms: directory::ChangeTiming,
     ) {
         let directory = self.directory.borrow();
         let is_first = directory.is_empty();
@@ -230,141 +235,145 @@
         drop(directory);
         if is_first {
             let count = changes.len();
-            let revision = number / LISTS_PER_REVISION;
+            let revision = list_revision / LISTS_PER_REVISION;
             log::info!("event=endpoints_listed revision={revision} count={count}");
             self.directory.borrow_mut().apply(changes, terms);
-            self.record_number(number);
+            self.advance_revision(list_revision);
             return;
         }
-        self.take_changes(number, changes, terms);
+        self.apply_changes(list_revision, changes, terms);
     }
 
-    /// Takes changes that lead to the list of a number.
-    fn take_changes(
+    /// Applies changes that lead to the list of the given revision.
+    fn apply_changes(
         &self,
-        number: u64,
-        changes: Vec<directory::ListChange>,
-        terms: directory::ChangeTerms,
+        list_revision: u64,
+        changes: Vec<directory::EndpointChange>,
+        terms: directory::ChangeTiming,
     ) {
-        let revision = number / LISTS_PER_REVISION;
+        let revision = list_revision / LISTS_PER_REVISION;
         for change in &changes {
             log::info!("event=endpoint_changed revision={revision} {change}");
         }
         self.directory.borrow_mut().apply(changes, terms);
-        self.record_number(number);
+        self.advance_revision(list_revision);
     }
 
-    fn record_number(&self, number: u64) {
-        self.number.set(self.number.get().max(number));
+    fn advance_revision(&self, list_revision: u64) {
+        self.list_revision
+            .set(self.list_revision.get().max(list_revision));
         self.changes.send_modify(|n| *n += 1);
     }
 
-    fn take_state(&self, state: route_table::DesiredState) {
-        let before = self.table.borrow().version();
-        if state.version <= before && !protection::is_disabled("state_up") {
+    fn apply_state(&self, state: route_table::DesiredState) {
+        let previous = self.table.borrow().version();
+        if state.version <= previous && !protection::is_disabled("state_up") {
             return;
         }
         let (version, routes) = (state.version, state.routes.len());
-        log::info!("event=state_in_force version={version} before={before} routes={routes}");
+        log::info!("event=state_in_force version={version} before={previous} routes={routes}");
         *self.table.borrow_mut() = rc::Rc::new(route_table::RouteTable::new(state));
         self.changes.send_modify(|n| *n += 1);
     }
 
     fn record_reachable(&self, reachable: bool) {
-        let before = self.is_answering.replace(reachable);
+        let previous = self.is_source_responding.replace(reachable);
         let now = self.clock.now();
-        if reachable != before {
+        if reachable != previous {
             log::warn!("event=store_reachable now={reachable}");
         }
-        match (before, reachable) {
-            (true, false) => self.away_since.set(Some(now)),
-            (false, false) if self.away_since.get().is_none() => self.away_since.set(Some(now)),
-            (false, true) => self.record_return(now),
+        match (previous, reachable) {
+            (true, false) => self.unreachable_since.set(Some(now)),
+            (false, false) if self.unreachable_since.get().is_none() => {
+                self.unreachable_since.set(Some(now))
+            }
+            (false, true) => self.record_recovery(now),
             _ => {}
         }
         if reachable {
-            self.answered_at.set(Some(now));
+            self.last_response_at.set(Some(now));
         }
     }
 
-    /// Notes that the source answers again, or for the first time.
-    fn record_return(&self, now: clock::MonotonicTime) {
-        let is_long = |since: &clock::MonotonicTime| now.since(*since) >= LONG_ABSENCE;
-        let away_since = self.away_since.get();
-        // It may have been away since its last answer, if there was one.
-        let was_absent = match self.answered_at.get() {
+    /// Records that the source responds again, or for the first time.
+    fn record_recovery(&self, now: clock::MonotonicTime) {
+        let is_long = |since: &clock::MonotonicTime| now.since(*since) >= MIN_OUTAGE;
+        let unreachable_since = self.unreachable_since.get();
+        // The outage may have begun right after the last response, if there was one.
+        let was_out = match self.last_response_at.get() {
             Some(at) => is_long(&at),
-            None => away_since.is_some(),
+            None => unreachable_since.is_some(),
         };
-        if was_absent {
-            self.returned_at.set(Some(now));
+        if was_out {
+            self.recovered_at.set(Some(now));
         }
-        // In an absence no endpoint can show itself.
-        if away_since.as_ref().is_some_and(is_long) {
+        // Endpoints cannot renew their entries during an outage.
+        if unreachable_since.as_ref().is_some_and(is_long) {
             let mut directory = self.directory.borrow_mut();
-            directory.keep_expired(now + EXPIRY_GRACE);
+            directory.extend_expired(now + EXPIRY_GRACE);
         }
-        self.returned.notify_waiters();
+        self.source_recovery.notify_waiters();
     }
 
-    /// When changes that the source tells now take effect.
-    fn change_terms(&self) -> directory::ChangeTerms {
-        directory::ChangeTerms {
-            gone_at: self.gone_at(),
-            earlier_at: Some(self.clock.now() + EARLIER_HOLD),
+    /// Returns when changes that the source delivers now take effect.
+    fn change_timing(&self) -> directory::ChangeTiming {
+        directory::ChangeTiming {
+            remove_at: self.remove_at(),
+            apply_earlier_at: Some(self.clock.now() + EARLIER_ENTRY_DELAY),
         }
     }
 
-    /// When an entry that is removed now counts as gone; nothing for at once.
-    fn gone_at(&self) -> Option<clock::MonotonicTime> {
+    /// Returns when an entry that is removed now is dropped; `None` means at once.
+    fn remove_at(&self) -> Option<clock::MonotonicTime> {
         let now = self.clock.now();
-        if !self.is_answering.get() {
-            return self.answered_at.get().map(|_| now + EXPIRY_GRACE);
+        if !self.is_source_responding.get() {
+            return self.last_response_at.get().map(|_| now + EXPIRY_GRACE);
         }
-        let returned_at = self.returned_at.get()?;
-        let is_settled = now.since(returned_at) >= SETTLED_AFTER;
-        (!is_settled).then(|| returned_at + EXPIRY_GRACE)
+        let recovered_at = self.recovered_at.get()?;
+        let is_stable = now.since(recovered_at) >= STABLE_AFTER;
+        (!is_stable).then(|| recovered_at + EXPIRY_GRACE)
     }
 
-    /// Removes what expired for good, and takes what was held back long enough.
+    /// Removes expired entries after their grace period, and applies delayed entries and
+    /// retries that are due.
     pub fn expire(&self) {
         let now = self.clock.now();
         let mut directory = self.directory.borrow_mut();
-        let is_over = self.is_reachable() && directory.expire(now);
-        let is_taken = directory.take_earlier(now);
-        let is_retried = directory.retry_misnamed(now);
+        let has_removed = self.is_reachable() && directory.remove_expired(now);
+        let has_applied = directory.apply_earlier(now);
+        let has_retried = directory.retry_misidentified(now);
         drop(directory);
-        if is_over || is_taken {
-            // Peers that took the entries over take only what is newer.
-            self.record_number(self.number.get() + 1);
-        } else if is_retried {
+        if has_removed || has_applied {
+            // Peers that copied these entries only accept a list with a higher revision.
+            self.advance_revision(self.list_revision.get() + 1);
+        } else if has_retried {
             self.changes.send_modify(|n| *n += 1);
         }
     }
 
-    /// Notes that somebody else answered at an endpoint's address: it gets no work for
-    /// a while, or until its entry is written again.
-    pub fn record_misnamed(&self, id: &ids::EndpointId, started: Option<ids::StartTime>) {
+    /// Records that another endpoint responded at the address of this one, which then
+    /// gets no work until its backoff ends or its entry is written again.
+    pub fn record_misidentified(&self, id: &ids::EndpointId, started: Option<ids::StartTime>) {
         let now = self.clock.now();
         let is_new = self
             .directory
             .borrow_mut()
-            .record_misnamed(id, started, now);
+            .record_misidentified(id, started, now);
         if is_new {
             log::warn!("event=endpoint_misnamed endpoint={id} outcome=left_out");
             self.changes.send_modify(|n| *n += 1);
         }
     }
 
-    /// Notes that an endpoint answered under its name.
-    pub fn record_named(&self, id: &ids::EndpointId) {
-        if self.directory.borrow_mut().record_named(id) {
+    /// Records that an endpoint responded under its own name.
+    pub fn record_verified(&self, id: &ids::EndpointId) {
+        if self.directory.borrow_mut().record_verified(id) {
             log::info!("event=endpoint_named endpoint={id}");
             self.changes.send_modify(|n| *n += 1);
         }
     }
 
-    /// Objects of the store that could not be read so far.
+    /// Returns the number of objects of the store that could not be read so far.
     pub fn unreadable(&self) -> u64 {
         self.unreadable.get()
     }
--- a/src/serving/fleet_source.rs
+++ b/src/serving/fleet_source.rs
@@ -17,13 +17,13 @@
     /// All endpoints as a peer knows them.
     PeerEndpoints(directory::DirectorySnapshot),
     /// Changes of the endpoints up to a revision of the store.
-    EndpointChanges(u64, Vec<directory::ListChange>),
+    EndpointChanges(u64, Vec<directory::EndpointChange>),
     /// The source answers, or does not.
     Reachable(bool),
     /// The source answered a reading beside the watches.
-    Answered,
+    Responded,
     /// The source answers again after a call of it failed.
-    Returned,
+    Recovered,
     /// An object could not be read; it names nothing to use.
     Unreadable,
     /// An instance is to be emptied.
--- /dev/null
+++ b/src/serving/fleet_sync.rs
@@ -0,0 +1,451 @@
+//! Synchronises fleet state: members from the store, heartbeats, and newer state from
+//! peers.
+
+use std::{net, rc, time};
+
+use super::{
+    context, crash_guard, fleet_source, limit_links, members, owners, peer_links, peers,
+    state_transfer,
+};
+use crate::{decisions::call_budget::CallClass, ids, store};
+
+/// Timeout for the members of a peer, and for the next bytes of its list of endpoints.
+const FETCH_TIMEOUT: time::Duration = time::Duration::from_millis(500);
+
+/// Interval between two reads of the desired state and the list of endpoints. Together
+/// with a probe and a request, a change is known everywhere within a second even if no
+/// watch reports it; that is half of the shortest time allowed for it.
+const REFRESH_INTERVAL: time::Duration = time::Duration::from_millis(600);
+
+/// Time for which a peer's newer list must differ before this process reads the list
+/// again. Its own watch delivers most changes at about the same time.
+const DIVERGENCE_TIMEOUT: time::Duration = time::Duration::from_millis(400);
+
+/// Timeout of a probe; a round trip takes 1 to 4 ms.
+const PROBE_TIMEOUT: time::Duration = time::Duration::from_millis(400);
+
+/// Delay before a failed access to the member records is retried.
+const MEMBER_RETRY_DELAY: time::Duration = time::Duration::from_millis(500);
+
+/// Minimum interval between two requests for the members of a peer.
+const MEMBER_FETCH_INTERVAL: time::Duration = time::Duration::from_secs(1);
+
+/// Delay between the first read of the members and the first watch. By then, peers that
+/// watch the store report changes.
+const FIRST_WATCH_DELAY: time::Duration = time::Duration::from_millis(700);
+
+/// Delay after each further watch response, so that records that change shortly after
+/// each other, as in a rolling restart, cost one store call. Peers get the changes
+/// through probes, so a process that starts becomes known at most a quarter of a second
+/// later.
+const NEXT_WATCH_DELAY: time::Duration = time::Duration::from_millis(250);
+
+/// Longest duration of one watch of the members.
+const MEMBER_WATCH_TIMEOUT: time::Duration = time::Duration::from_secs(25);
+
+/// Registers this process in the store and watches the records of the other processes.
+pub(super) async fn watch_members(context: rc::Rc<context::ProcessContext>) {
+    let key = format!("{}/{}", context::MEMBER_KIND, context.id());
+    let own = store::encode(&context.options.member);
+    let always = store::WriteCondition::Always;
+    while let Err(e) = context
+        .store
+        .put(CallClass::Control, &key, own.clone(), always)
+        .await
+    {
+        log::warn!("event=member_record_unwritten why=\"{e}\"");
+        actix_rt::time::sleep(MEMBER_RETRY_DELAY).await;
+    }
+    let prefix = format!("{}/", context::MEMBER_KIND);
+    let mut since = store::ObjectRevision(0);
+    while !context.is_stopping() {
+        let learns_from_peers = since.0 > 0 && !context.fleet.follows_store();
+        if learns_from_peers || !context.fleet.is_reachable() {
+            actix_rt::time::sleep(MEMBER_RETRY_DELAY).await;
+            continue;
+        }
+        let response = context.store.watch(&[&prefix], since, MEMBER_WATCH_TIMEOUT);
+        let response = tokio::select! {
+            response = response => response,
+            () = context.fleet.source_recovered() => continue,
+        };
+        match response {
+            Ok(response) => {
+                let is_first = since.0 == 0;
+                since = store::ObjectRevision(response.revision);
+                context.members_known.set(true);
+                apply_member_changes(&context, &prefix, response.changes);
+                context.members_changed.notify_one();
+                let delay = match is_first {
+                    true => FIRST_WATCH_DELAY,
+                    false => NEXT_WATCH_DELAY,
+                };
+                actix_rt::time::sleep(delay).await;
+            }
+            Err(e) => {
+                log::info!("event=members_unread why=\"{e}\"");
+                actix_rt::time::sleep(MEMBER_RETRY_DELAY).await;
+            }
+        }
+    }
+}
+
+/// Number of member changes up to which each is logged. More come at a start, or from all
+/// processes at once when power returns; hundreds of lines would displace the log lines
+/// about requests of that second.
+const MAX_MEMBER_LINES: usize = 8;
+
+fn apply_member_changes(
+    context: &rc::Rc<context::ProcessContext>,
+    prefix: &str,
+    changes: Vec<crate::platform::ObjectChange>,
+) {
+    let level = match changes.len() > MAX_MEMBER_LINES {
+        true => log::Level::Debug,
+        false => log::Level::Info,
+    };
+    if level == log::Level::Debug {
+        log::info!("event=members_changed count={}", changes.len());
+    }
+    for change in changes {
+        apply_member_change(context, prefix, change, level);
+    }
+}
+
+fn apply_member_change(
+    context: &rc::Rc<context::ProcessContext>,
+    prefix: &str,
+    change: crate::platform::ObjectChange,
+    level: log::Level,
+) {
+    let name = change.key.strip_prefix(prefix).unwrap_or(&change.key);
+    let mut members = context.members.borrow_mut();
+    let Some(value) = change.value else {
+        if let Ok(id) = name.parse() {
+            log::log!(level, "event=member_gone instance={name}");
+            members.remove(&id);
+        }
+        return;
+    };
+    match serde_json::from_str::<members::MemberRecord>(&value) {
+        Ok(record) if record.id == *context.id() => {}
+        Ok(record) => {
+            let address = record.address;
+            log::log!(level, "event=member_listed instance={name} at={address}");
+            members.upsert(record);
+        }
+        Err(e) => log::warn!("event=member_unreadable instance={name} why=\"{e}\""),
+    }
+}
+
+/// Probes the peers whose liveness matters to this process: the dispatchers, or all peers
+/// if no dispatcher is live.
+///
+/// The first owners, which watch the store, are probed at the full rate; the rate of the
+/// others falls with their number.
+pub(super) async fn probe_peers(context: rc::Rc<context::ProcessContext>) {
+    let mut round = 0_usize;
+    loop {
+        for record in probe_targets(&context, round) {
+            actix_rt::spawn(probe(context.clone(), record));
+        }
+        round = round.wrapping_add(1);
+        // New peers are probed at once: after a start this process knows no owners until
+        // they have responded.
+        tokio::select! {
+            () = actix_rt::time::sleep(members::PROBE_INTERVAL) => {}
+            () = context.members_changed.notified() => {}
+        }
+    }
+}
+
+/// Returns the peers to probe in a round.
+fn probe_targets(context: &context::ProcessContext, round: usize) -> Vec<members::MemberRecord> {
+    let peers = probe_candidates(context);
+    let factor = members::probe_interval_factor(peers.len()).ceil() as usize;
+    let owners = context.owners();
+    let followers = &owners[..owners.len().min(members::STORE_FOLLOWERS)];
+    let shares = context.shares.borrow();
+    let quota_servers = shares.quota_servers();
+    let is_preferred =
+        |id: &ids::InstanceId| quota_servers.contains(id) || followers.iter().any(|o| o.id == *id);
+    let peers = peers.into_iter().enumerate();
+    let members = context.members.borrow();
+    let due = peers.filter(|(n, record)| {
+        let in_turn = (n + round).is_multiple_of(factor);
+        in_turn || is_preferred(&record.id) || !members.was_seen(&record.id)
+    });
+    due.map(|(_, record)| record).collect()
+}
+
+/// Returns the peers whose liveness matters to this process.
+fn probe_candidates(context: &context::ProcessContext) -> Vec<members::MemberRecord> {
+    let members = context.members.borrow();
+    let dispatchers: Vec<_> = members
+        .records()
+        .filter(|r| r.role == members::MemberRole::Dispatcher)
+        .cloned()
+        .collect();
+    let any_live = !members.live_dispatchers(context.clock.now()).is_empty();
+    let own_role = context.options.member.role;
+    if any_live || own_role == members::MemberRole::Dispatcher {
+        return dispatchers;
+    }
+    members.records().cloned().collect()
+}
+
+async fn probe(context: rc::Rc<context::ProcessContext>, record: members::MemberRecord) {
+    context.links.try_connect(record.address).await;
+    let mut heartbeat = context.heartbeat();
+    let deposit = limit_links::add_deposit(&context, &record.id, &mut heartbeat);
+    let response = context
+        .links
+        .probe(record.address, heartbeat, PROBE_TIMEOUT)
+        .await;
+    limit_links::settle_deposit(&context, deposit, &response);
+    match response {
+        Ok(heartbeat) if heartbeat.id == record.id => {
+            limit_links::record_stamp(&context, &heartbeat);
+            receive_heartbeat(&context, &heartbeat);
+            crash_guard::learn(&context, record.address, &heartbeat);
+            catch_up(&context, record.address, &heartbeat).await;
+        }
+        Ok(heartbeat) => log::warn!(
+            "event=peer_differs listed={} found={}",
+            record.id,
+            heartbeat.id
+        ),
+        Err(peer_links::PeerError::TimedOut) => context.links.close_if_silent(record.address),
+        Err(peer_links::PeerError::Unreachable | peer_links::PeerError::NotSent) => {}
+    }
+}
+
+/// Handles a probe from a peer.
+pub(super) fn receive_probe(
+    context: &rc::Rc<context::ProcessContext>,
+    heartbeat: &peers::HeartbeatMessage,
+) {
+    receive_heartbeat(context, heartbeat);
+    limit_links::take_deposit(context, heartbeat);
+    start_state_transfer(context, heartbeat.address, heartbeat);
+    crash_guard::learn(context, heartbeat.address, heartbeat);
+    if should_fetch_endpoints(context, heartbeat) {
+        let (context, heartbeat) = (context.clone(), heartbeat.clone());
+        actix_rt::spawn(
+            async move { fetch_endpoints(&context, heartbeat.address, &heartbeat).await },
+        );
+    }
+}
+
+/// Returns whether to request the list of endpoints from a peer that probes this process.
+/// A process that the store rejects may itself probe no peer that watches the store.
+fn should_fetch_endpoints(
+    context: &context::ProcessContext,
+    heartbeat: &peers::HeartbeatMessage,
+) -> bool {
+    let is_cut_off = !context.fleet.is_following();
+    is_cut_off && heartbeat.follows_store && has_newer_endpoints(context, heartbeat)
+}
+
+/// Returns whether a peer has a list of endpoints that is newer and different.
+fn has_newer_endpoints(
+    context: &context::ProcessContext,
+    heartbeat: &peers::HeartbeatMessage,
+) -> bool {
+    let fleet = &context.fleet;
+    heartbeat.digest != fleet.digest() && heartbeat.revision > fleet.revision()
+}
+
+fn receive_heartbeat(context: &context::ProcessContext, heartbeat: &peers::HeartbeatMessage) {
+    let change = record_heartbeat(context, heartbeat);
+    if change == members::RunChange::Restarted {
+        log::info!(
+            "event=peer_restarted peer={} run={}",
+            heartbeat.id,
+            heartbeat.run
+        );
+    }
+    if change != members::RunChange::Unchanged {
+        owners::release_ended(context);
+    }
+}
+
+/// Records the state that a peer reports in its heartbeat.
+fn record_heartbeat(
+    context: &context::ProcessContext,
+    heartbeat: &peers::HeartbeatMessage,
+) -> members::RunChange {
+    let now = context.clock.now();
+    let state = members::PeerHeartbeat {
+        run: heartbeat.run,
+        leaving: heartbeat.leaving,
+        receives_from: heartbeat.receives_from.clone(),
+        follows_store: heartbeat.follows_store,
+        version: heartbeat.version,
+    };
+    let mut members = context.members.borrow_mut();
+    let change = members.record_heartbeat(&heartbeat.id, state, now);
+    let mut free_slots = context.free_slots.borrow_mut();
+    free_slots.retain(|(id, _), _| *id != heartbeat.id);
+    for (service, count) in &heartbeat.free_slots {
+        free_slots.insert((heartbeat.id.clone(), service.clone()), *count);
+    }
+    change
+}
+
+/// Fetches the state of a peer that is newer than that of this process.
+async fn catch_up(
+    context: &rc::Rc<context::ProcessContext>,
+    peer: net::SocketAddr,
+    heartbeat: &peers::HeartbeatMessage,
+) {
+    start_state_transfer(context, peer, heartbeat);
+    if !heartbeat.follows_store {
+        return;
+    }
+    if !context.fleet.follows_store() {
+        fetch_members(context, peer, heartbeat).await;
+    }
+    // An equal list of this peer does not reset the divergence timer: the lists of other
+    // peers may still differ.
+    if !has_newer_endpoints(context, heartbeat) {
+        return;
+    }
+    match context.fleet.is_following() {
+        true => refresh_diverged(context).await,
+        false => fetch_endpoints(context, peer, heartbeat).await,
+    }
+}
+
+/// Fetches the list of endpoints from a peer, unless a fetch is in progress.
+async fn fetch_endpoints(
+    context: &context::ProcessContext,
+    peer: net::SocketAddr,
+    heartbeat: &peers::HeartbeatMessage,
+) {
+    let Some(_guard) = context.endpoints_fetch.begin() else {
+        return;
+    };
+    // A connection to a peer that probes this process may not exist yet.
+    context.links.try_connect(peer).await;
+    match context.links.endpoints(peer, FETCH_TIMEOUT).await {
+        Ok(snapshot) => {
+            count_read(context, "endpoints_taken");
+            let (id, revision) = (&heartbeat.id, snapshot.revision);
+            log::info!("event=endpoints_from_peer peer={id} revision={revision}");
+            let update = fleet_source::FleetUpdate::PeerEndpoints(snapshot);
+            context.fleet.apply(update);
+        }
+        Err(e) => {
+            count_read(context, "endpoints_missing");
+            log::info!(
+                "event=peer_endpoints_missing peer={} why=\"{e}\"",
+                heartbeat.id
+            );
+        }
+    }
+}
+
+/// Counts a fetch of a peer's list by its outcome.
+fn count_read(context: &context::ProcessContext, outcome: &str) {
+    let reads = &context.metrics.view_reads;
+    reads.with_label_values(&[outcome]).inc();
+}
+
+/// Starts to fetch the desired state of a peer that has a newer one.
+///
+/// Over a slow link this may take seconds, so the fetch of a newer list of endpoints does
+/// not wait for it.
+fn start_state_transfer(
+    context: &rc::Rc<context::ProcessContext>,
+    peer: net::SocketAddr,
+    heartbeat: &peers::HeartbeatMessage,
+) {
+    if heartbeat.version > context.fleet.table().version() {
+        actix_rt::spawn(state_transfer::fetch(context.clone(), peer));
+    }
+}
+
+/// Fetches the member records of a peer that watches the store.
+async fn fetch_members(
+    context: &context::ProcessContext,
+    peer: net::SocketAddr,
+    heartbeat: &peers::HeartbeatMessage,
+) {
+    let own = &context.options.member;
+    let now = context.clock.now();
+    let is_recent = |at| now.since(at) < MEMBER_FETCH_INTERVAL;
+    let is_known = heartbeat.members == context.members.borrow().digest(own);
+    if is_known || context.members_requested_at.get().is_some_and(is_recent) {
+        return;
+    }
+    context.members_requested_at.set(Some(now));
+    match context.links.members(peer, FETCH_TIMEOUT).await {
+        Ok(mut records) => {
+            log::info!(
+                "event=members_from_peer peer={} count={}",
+                heartbeat.id,
+                records.len()
+            );
+            records.retain(|r| r.id != own.id);
+            let now = context.clock.now();
+            context.members.borrow_mut().merge(records, now);
+            context.members_changed.notify_one();
+        }
+        Err(e) => log::info!(
+            "event=peer_members_missing peer={} why=\"{e}\"",
+            heartbeat.id
+        ),
+    }
+}
+
+/// Reads the list of endpoints again after a peer has had a newer one for
+/// [`DIVERGENCE_TIMEOUT`] while the list of this process did not change.
+async fn refresh_diverged(context: &context::ProcessContext) {
+    let now = context.clock.now();
+    let own = context.fleet.revision();
+    match context.differing_since.get() {
+        Some((since, of)) if of == own && now.since(since) < DIVERGENCE_TIMEOUT => {}
+        Some((_, of)) if of == own => {
+            context.differing_since.set(None);
+            log::info!("event=endpoints_missed");
+            let model = context.fleet.clone();
+            let refresh = fleet_source::RefreshKind::Endpoints;
+            context.source.refresh(refresh, model).await;
+        }
+        _ => context.differing_since.set(Some((now, own))),
+    }
+}
+
+/// Reads the state from the store periodically; one process does it for all.
+///
+/// A watch may miss changes without failing. The other processes receive through probes
+/// what is read here.
+pub(super) async fn refresh_periodically(context: rc::Rc<context::ProcessContext>) {
+    use fleet_source::RefreshKind as K;
+
+    loop {
+        actix_rt::time::sleep(REFRESH_INTERVAL).await;
+        if !is_refresher(&context) {
+            continue;
+        }
+        for kind in [K::Endpoints, K::State] {
+            context.source.refresh(kind, context.fleet.clone()).await;
+        }
+    }
+}
+
+/// Returns whether this process reads for all: it is the first owner that watches the
+/// store. The first of all owners may have no access to the store.
+fn is_refresher(context: &context::ProcessContext) -> bool {
+    let owners = context.owners();
+    let now = context.clock.now();
+    let members = context.members.borrow();
+    let mut followers = owners
+        .iter()
+        .filter(|owner| match owner.id == *context.id() {
+            true => context.fleet.is_following(),
+            false => members.is_live_follower(&owner.id, now),
+        });
+    followers.next().is_some_and(|o| o.id == *context.id())
+}
--- a/src/serving/item_run.rs
+++ b/src/serving/item_run.rs
@@ -235,7 +235,7 @@
                             return RunEnd::Cut(format!("event {} after {last:?}", event.id));
                         }
                         if last == resumed_after {
-                            self.context.fleet.record_named(&self.endpoint.id);
+                            self.context.fleet.record_verified(&self.endpoint.id);
                         }
                         last = Some(event.id);
                         if !self.take_event(&event) {
@@ -291,7 +291,7 @@
             RunEnd::Cut(_) => Some(endpoint_reports::failure(context, true)),
             RunEnd::NotRun(reason) => {
                 endpoint_reports::count_refusal(context, *reason);
-                endpoint_reports::of_refusal(context, *reason)
+                endpoint_reports::from_refusal(context, *reason)
             }
             RunEnd::Impossible | RunEnd::Failed | RunEnd::Preempted => None,
         };
--- a/src/serving/job_upkeep.rs
+++ b/src/serving/job_upkeep.rs
@@ -71,7 +71,7 @@
     let mut dispatchers = members
         .records()
         .filter(|r| r.role == members::MemberRole::Dispatcher);
-    context.members_known.get() && dispatchers.all(|r| members.was_heard(&r.id))
+    context.members_known.get() && dispatchers.all(|r| members.was_seen(&r.id))
 }
 
 async fn adopt(context: &rc::Rc<context::ProcessContext>) -> store::StoreResult<()> {
@@ -111,7 +111,7 @@
         let response = context.store.watch(&[&prefix], since, END_WAIT);
         let response = tokio::select! {
             response = response => response,
-            () = context.fleet.source_return() => continue,
+            () = context.fleet.source_recovered() => continue,
         };
         match response {
             Ok(response) => {
--- a/src/serving/limit_links.rs
+++ b/src/serving/limit_links.rs
@@ -16,7 +16,7 @@
 };
 
 /// Timeout of a request to a keeper that counts as alive.
-const HEARD_TIMEOUT: time::Duration = members::PEER_SILENCE;
+const HEARD_TIMEOUT: time::Duration = members::PEER_TIMEOUT;
 /// Timeout of a request to a keeper that missed its probes.
 const SILENT_TIMEOUT: time::Duration = time::Duration::from_millis(100);
 /// How long a workspace without requests is remembered.
@@ -137,9 +137,9 @@
     context: &context::ProcessContext,
     now: clock::MonotonicTime,
 ) -> Vec<ids::InstanceId> {
-    let is_young = context.age() < members::KEEPER_SILENCE;
+    let is_young = context.age() < members::QUOTA_SERVER_TIMEOUT;
     let members = context.members.borrow();
-    let silent = members.silent_keepers(is_young, now);
+    let silent = members.silent_quota_servers(is_young, now);
     let owners = context.owners();
     let is_dispatcher = |id: &ids::InstanceId| {
         let own = &context.options.member;
@@ -228,11 +228,11 @@
 pub(super) fn add_deposit(
     context: &context::ProcessContext,
     peer: &ids::InstanceId,
-    hello: &mut peers::PeerHello,
+    heartbeat: &mut peers::HeartbeatMessage,
 ) -> Option<SentDeposit> {
     let (run, stamp) = context.stamps.borrow().get(peer).copied()?;
     let due = take_share(context, peer, context.clock.now())?;
-    hello.deposit = Some(limit_messages::ShareDeposit {
+    heartbeat.deposit = Some(limit_messages::ShareDeposit {
         number: due.number,
         time: share_clock::ShareTime::of(due.time, sharing(context)),
         view: due.view,
@@ -249,7 +249,7 @@
 pub(super) fn settle_deposit(
     context: &context::ProcessContext,
     sent: Option<SentDeposit>,
-    response: &Result<peers::PeerHello, peer_links::PeerError>,
+    response: &Result<peers::HeartbeatMessage, peer_links::PeerError>,
 ) {
     if let (Some(sent), Err(peer_links::PeerError::NotSent)) = (sent, response) {
         let mut shares = context.shares.borrow_mut();
@@ -258,20 +258,20 @@
 }
 
 /// Reads the stamp of a peer that may keep pools.
-pub(super) fn record_stamp(context: &context::ProcessContext, hello: &peers::PeerHello) {
+pub(super) fn record_stamp(context: &context::ProcessContext, heartbeat: &peers::HeartbeatMessage) {
     let mut stamps = context.stamps.borrow_mut();
-    stamps.insert(hello.id.clone(), (hello.run, hello.stamp));
+    stamps.insert(heartbeat.id.clone(), (heartbeat.run, heartbeat.stamp));
 }
 
 /// Credits the deposit that a gateway's heartbeat brings.
-pub(super) fn take_deposit(context: &context::ProcessContext, hello: &peers::PeerHello) {
-    let Some(deposit) = hello.deposit else {
+pub(super) fn take_deposit(context: &context::ProcessContext, heartbeat: &peers::HeartbeatMessage) {
+    let Some(deposit) = heartbeat.deposit else {
         return;
     };
     let outcome = match deposit.run == context.run.run {
         true => {
             let deposit = token_pools::PoolDeposit {
-                run: hello.run,
+                run: heartbeat.run,
                 number: deposit.number,
                 time: deposit.time,
                 view: deposit.view,
@@ -283,7 +283,7 @@
         false => token_pools::DepositOutcome::Late,
     };
     if outcome != token_pools::DepositOutcome::Credited {
-        log::debug!("event=deposit_lost from={} why={outcome:?}", hello.id);
+        log::debug!("event=deposit_lost from={} why={outcome:?}", heartbeat.id);
     }
     let label = match outcome {
         token_pools::DepositOutcome::Credited => "credited",
--- a/src/serving/members.rs
+++ b/src/serving/members.rs
@@ -1,4 +1,4 @@
-//! The processes of the system, and which of them answer.
+//! Membership: the processes of the system and their liveness.
 
 use std::{collections, net, time};
 
@@ -7,98 +7,100 @@
 use super::route_table;
 use crate::{clock, decisions::ownership, ids};
 
-/// What a process does.
+/// Role of a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum MemberRole {
-    /// Serves callers.
+    /// Serves clients.
     Gateway,
     /// Owns endpoints and runs jobs.
     Dispatcher,
 }
 
-/// A process as it shows itself in the store: written at its start, not renewed.
+/// Registration of a process in the store, written once at its start and not renewed.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct MemberRecord {
-    /// Its name.
+    /// Name of the process.
     pub id: ids::InstanceId,
-    /// What it does.
+    /// Role of the process.
     pub role: MemberRole,
-    /// Its failure domain.
+    /// Failure domain of the process.
     pub domain: ids::DomainName,
-    /// Where it answers its peers.
+    /// Address at which the process serves peers.
     pub address: net::SocketAddr,
 }
 
-/// Stands for the name of a process in heartbeats, as there are very many of them.
+/// Hash of a process name, which keeps heartbeats small when there are many processes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
-pub struct MemberMark(u32);
+pub struct MemberHash(u32);
 
-impl MemberMark {
-    /// The mark of a name; of 390 names two share one in one of 56,000 fleets.
+impl MemberHash {
+    /// Returns the hash of a name. Among 390 names, two have the same hash in one of
+    /// 56,000 fleets.
     pub fn of(id: &ids::InstanceId) -> Self {
         Self(xxh3::xxh3_64(id.as_str().as_bytes()) as u32)
     }
 }
 
-/// In which run a peer was heard, by what was heard of it before.
+/// Change of a peer's run, compared with its last heartbeat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum HeardRun {
-    /// The same as before, or the peer is not listed.
-    Same,
-    /// The first one here.
+pub enum RunChange {
+    /// The run is unchanged, or the peer is not listed.
+    Unchanged,
+    /// This is the first heartbeat received from the peer.
     First,
-    /// Another one: it started again.
-    Next,
+    /// The peer has restarted.
+    Restarted,
 }
 
-/// What a process says of itself at each heartbeat.
+/// State that a process reports about itself in each heartbeat.
 #[derive(Debug, Clone, Default)]
 pub struct PeerHeartbeat {
-    /// Which of its runs this is.
+    /// Run of the process.
     pub run: ids::RunNumber,
-    /// Whether it is leaving.
+    /// Whether the process is draining.
     pub leaving: bool,
-    /// Marks of the dispatchers that it hears itself.
-    pub receives_from: Vec<MemberMark>,
-    /// Whether it follows the store itself, and the store answers.
+    /// Hashes of the dispatchers whose heartbeats the process receives.
+    pub receives_from: Vec<MemberHash>,
+    /// Whether the process watches the store itself and the store responds.
     pub follows_store: bool,
     /// Version of its desired state.
     pub version: route_table::StateVersion,
 }
 
-/// Owners that follow the store; the others learn from them by the probes.
+/// Number of owners that watch the store; the others receive its changes through probes.
 ///
-/// One would do; with three the loss of two at once is not noticed.
-pub(super) const FOLLOWERS: usize = 3;
+/// One would be enough; with three, the loss of two at once has no effect.
+pub(super) const STORE_FOLLOWERS: usize = 3;
 
-/// How often a peer is probed, while there are few.
+/// Interval between two probes of a peer in a small fleet.
 pub const PROBE_INTERVAL: time::Duration = time::Duration::from_millis(250);
-/// Peers of a role up to which each is probed at that pace; beyond, the pace of
-/// each falls so that a process sends no more than 64 probes a second. With a
-/// probe of all every 250 ms, 300 processes spent three quarters of their
-/// processor time on it. The loss of one of many is noticed later, and is a
-/// smaller part of all.
-const FULL_PACE_PEERS: usize = 16;
-
-/// How many times longer the pause between probes of one peer is among so many.
-pub fn pace_stretch(peers: usize) -> f64 {
-    (peers as f64 / FULL_PACE_PEERS as f64).max(1.0)
+/// Number of peers up to which each is probed at [`PROBE_INTERVAL`]. Beyond it the
+/// interval grows, so that a process sends at most 64 probes per second. With a probe of
+/// every peer each 250 ms, 300 processes spent three quarters of their CPU time on
+/// probes. The loss of one of many processes is detected later, but affects a smaller
+/// share of the requests.
+const FULL_RATE_PEERS: usize = 16;
+
+/// Returns the factor by which the probe interval grows with the number of peers.
+pub fn probe_interval_factor(peers: usize) -> f64 {
+    (peers as f64 / FULL_RATE_PEERS as f64).max(1.0)
 }
 
-/// Silence after which a peer counts as lost, while there are few: two probes
-/// and their longest answer.
-pub const PEER_SILENCE: time::Duration = time::Duration::from_millis(800);
+/// Time without a heartbeat after which a peer counts as lost in a small fleet: two probe
+/// intervals and the timeout of the response.
+pub const PEER_TIMEOUT: time::Duration = time::Duration::from_millis(800);
 
-/// Silence after which a dispatcher keeps no limits any more.
-pub const KEEPER_SILENCE: time::Duration = time::Duration::from_millis(1500);
+/// Time without a heartbeat after which a dispatcher is no longer a quota server.
+pub const QUOTA_SERVER_TIMEOUT: time::Duration = time::Duration::from_millis(1500);
 
-fn record_number(record: &MemberRecord) -> u64 {
+fn record_hash(record: &MemberRecord) -> u64 {
     let text = format!("{} {}", record.id, record.address);
     xxh3::xxh3_64(text.as_bytes())
 }
 
-/// How long a process that was heard is kept though a peer does not list it.
-const KEPT_SILENT: time::Duration = time::Duration::from_secs(10);
+/// Time after its last heartbeat for which a process is kept although a peer does not
+/// list it.
+const UNLISTED_RETENTION: time::Duration = time::Duration::from_secs(10);
 
 #[derive(Debug, Clone)]
 struct PeerState {
@@ -107,21 +109,22 @@
     heartbeat: PeerHeartbeat,
 }
 
-/// The peers of a process.
+/// Table of the peers of a process.
 ///
-/// Invariant: `counts` and `digest` are of the records in `peers`.
+/// Invariant: `counts` and `digest` are computed from the records in `peers`.
 #[derive(Debug, Default)]
 pub struct MemberTable {
     peers: collections::BTreeMap<ids::InstanceId, PeerState>,
-    /// Peers by role, dispatchers and gateways.
+    /// Number of peers by role: dispatchers, then gateways.
     counts: [usize; 2],
-    /// Sum of the numbers of all records.
+    /// Wrapping sum of the hashes of all records.
     digest: u64,
 }
 
 impl MemberTable {
-    /// Takes a record; one at another address is another process.
-    pub fn take(&mut self, record: MemberRecord) {
+    /// Adds or replaces a record. A record with another address is another process, whose
+    /// heartbeat state starts empty.
+    pub fn upsert(&mut self, record: MemberRecord) {
         match self.peers.get_mut(&record.id) {
             Some(peer) if peer.record == record => {}
             _ => {
@@ -136,117 +139,117 @@
         }
     }
 
-    /// Forgets a process.
+    /// Removes a process.
     pub fn remove(&mut self, id: &ids::InstanceId) {
         self.peers.remove(id);
         self.recount();
     }
 
     fn recount(&mut self) {
-        let of_role = |role| self.records().filter(|r| r.role == role).count();
-        self.counts = [
-            of_role(MemberRole::Dispatcher),
-            of_role(MemberRole::Gateway),
-        ];
-        self.digest = self.records().map(record_number).fold(0, u64::wrapping_add);
+        let count = |role| self.records().filter(|r| r.role == role).count();
+        self.counts = [count(MemberRole::Dispatcher), count(MemberRole::Gateway)];
+        self.digest = self.records().map(record_hash).fold(0, u64::wrapping_add);
     }
 
-    /// Silence after which a peer of a role counts as lost.
-    fn silence(&self, role: MemberRole) -> time::Duration {
+    /// Returns the time without a heartbeat after which a peer of a role counts as lost.
+    fn timeout_of(&self, role: MemberRole) -> time::Duration {
         let [dispatchers, gateways] = self.counts;
         let probed = match role {
             MemberRole::Dispatcher => dispatchers,
-            // Gateways are probed only where no dispatcher lives, with all the others.
+            // Gateways are probed only while no dispatcher is live, together with all
+            // other peers.
             MemberRole::Gateway => dispatchers + gateways,
         };
-        PEER_SILENCE.mul_f64(pace_stretch(probed))
+        PEER_TIMEOUT.mul_f64(probe_interval_factor(probed))
     }
 
-    /// Notes a heartbeat, and what the process says of itself.
+    /// Records a heartbeat and returns whether the run of the process changed.
     pub fn record_heartbeat(
         &mut self,
         id: &ids::InstanceId,
         heartbeat: PeerHeartbeat,
         now: clock::MonotonicTime,
-    ) -> HeardRun {
+    ) -> RunChange {
         let Some(peer) = self.peers.get_mut(id) else {
-            return HeardRun::Same;
+            return RunChange::Unchanged;
         };
-        let was_heard = peer.last_seen.replace(now).is_some();
-        let before = std::mem::replace(&mut peer.heartbeat, heartbeat);
-        match (was_heard, before.run == peer.heartbeat.run) {
-            (false, _) => HeardRun::First,
-            (true, true) => HeardRun::Same,
-            (true, false) => HeardRun::Next,
+        let was_seen = peer.last_seen.replace(now).is_some();
+        let previous = std::mem::replace(&mut peer.heartbeat, heartbeat);
+        match (was_seen, previous.run == peer.heartbeat.run) {
+            (false, _) => RunChange::First,
+            (true, true) => RunChange::Unchanged,
+            (true, false) => RunChange::Restarted,
         }
     }
 
-    /// Takes all records that a peer knows; those that it lacks are forgotten,
-    /// but for processes that answer: the peer may have just started itself.
+    /// Replaces the records by those of a peer. Processes that the peer does not list are
+    /// removed, except those seen recently: the peer may have just started.
     pub fn merge(&mut self, records: Vec<MemberRecord>, now: clock::MonotonicTime) {
         let known: collections::BTreeSet<_> = records.iter().map(|r| r.id.clone()).collect();
-        let recent =
-            |peer: &PeerState| peer.last_seen.is_some_and(|at| now.since(at) < KEPT_SILENT);
+        let recent = |peer: &PeerState| {
+            peer.last_seen
+                .is_some_and(|at| now.since(at) < UNLISTED_RETENTION)
+        };
         self.peers
             .retain(|id, peer| known.contains(id) || recent(peer));
         for record in records {
-            self.take(record);
+            self.upsert(record);
         }
         self.recount();
     }
 
-    /// A number that differs for tables that differ, with `own` among them.
+    /// Returns a digest of the records and of `own`; equal tables have equal digests.
     pub fn digest(&self, own: &MemberRecord) -> u64 {
-        self.digest.wrapping_add(record_number(own))
+        self.digest.wrapping_add(record_hash(own))
     }
 
-    /// Whether a live peer follows the store.
-    pub fn hears_follower(&self, now: clock::MonotonicTime) -> bool {
+    /// Returns whether a live peer watches the store.
+    pub fn has_live_follower(&self, now: clock::MonotonicTime) -> bool {
         let mut peers = self.peers.keys();
-        peers.any(|id| self.follows(id, now))
+        peers.any(|id| self.is_live_follower(id, now))
     }
 
-    /// Whether a peer is live and follows the store.
-    pub fn follows(&self, id: &ids::InstanceId, now: clock::MonotonicTime) -> bool {
+    /// Returns whether a peer is live and watches the store.
+    pub fn is_live_follower(&self, id: &ids::InstanceId, now: clock::MonotonicTime) -> bool {
         let peer = self.peers.get(id);
         peer.is_some_and(|peer| peer.heartbeat.follows_store && self.is_live(peer, now))
     }
 
-    /// Dispatchers that answer this process itself.
-    pub fn heard_dispatchers(&self, now: clock::MonotonicTime) -> Vec<ids::InstanceId> {
+    /// Returns the dispatchers whose heartbeats this process receives.
+    pub fn live_dispatchers(&self, now: clock::MonotonicTime) -> Vec<ids::InstanceId> {
         let live = self.live(now);
         let live = live.filter(|record| record.role == MemberRole::Dispatcher);
         live.map(|record| record.id.clone()).collect()
     }
 
-    /// Whether a process answers this process itself.
+    /// Returns whether this process receives heartbeats of a peer.
     pub fn receives_from(&self, id: &ids::InstanceId, now: clock::MonotonicTime) -> bool {
         let peer = self.peers.get(id);
         peer.is_some_and(|peer| self.is_live(peer, now))
     }
 
-    /// Dispatchers that do not answer this process but are heard by live peers:
-    /// the path to them is cut, and they still own what they own.
-    fn vouched(&self, now: clock::MonotonicTime) -> Vec<&MemberRecord> {
+    /// Returns the dispatchers whose heartbeats reach live peers but not this process.
+    /// Only the path to them is lost, so they remain owners.
+    fn indirectly_live(&self, now: clock::MonotonicTime) -> Vec<&MemberRecord> {
         let live = self
             .live(now)
             .filter_map(|record| self.peers.get(&record.id));
-        let named = live.flat_map(|peer| peer.heartbeat.receives_from.iter());
-        let named: collections::HashSet<_> = named.collect();
-        let cut = self.peers.values().filter(|peer| {
-            let heard = self.is_heard(peer, now);
-            let said_leaving = heard && peer.heartbeat.leaving;
+        let reported = live.flat_map(|peer| peer.heartbeat.receives_from.iter());
+        let reported: collections::HashSet<_> = reported.collect();
+        let silent_peers = self.peers.values().filter(|peer| {
+            let responds = self.is_responding(peer, now);
+            let is_leaving = responds && peer.heartbeat.leaving;
             let is_dispatcher = peer.record.role == MemberRole::Dispatcher;
-            let silent = is_dispatcher && !heard && !said_leaving;
-            silent && named.contains(&MemberMark::of(&peer.record.id))
+            let silent = is_dispatcher && !responds && !is_leaving;
+            silent && reported.contains(&MemberHash::of(&peer.record.id))
         });
-        cut.map(|peer| &peer.record).collect()
+        silent_peers.map(|peer| &peer.record).collect()
     }
 
-    /// Live gateways that hear dispatchers: a process that hears none itself is
-    /// cut off, and reaches them through these.
+    /// Returns the live gateways that receive heartbeats of dispatchers. A process that
+    /// receives none itself is isolated and reaches the dispatchers through these.
     pub fn relays(&self, now: clock::MonotonicTime) -> Vec<MemberRecord> {
-        if !self.heard_dispatchers(now).is_empty() {
+        if !self.live_dispatchers(now).is_empty() {
             return Vec::new();
         }
         let live = self.live(now);
@@ -257,95 +260,108 @@
         relays.cloned().collect()
     }
 
-    /// Dispatchers that count as keepers of limits though they are silent: not for long,
-    /// or the process is young and has heard nobody yet.
+    /// Returns the dispatchers that remain quota servers without current heartbeats: they
+    /// have been silent only for a short time, or this process is young and has not seen
+    /// them yet.
     ///
-    /// The list of keepers outlasts restarts, as deposits count only where both sides
-    /// have the same one.
-    pub fn silent_keepers(&self, is_young: bool, now: clock::MonotonicTime) -> Vec<&MemberRecord> {
+    /// The set of quota servers must survive restarts, because a deposit counts only if
+    /// both sides have the same set.
+    pub fn silent_quota_servers(
+        &self,
+        is_young: bool,
+        now: clock::MonotonicTime,
+    ) -> Vec<&MemberRecord> {
         let silent = self.peers.values().filter(|peer| {
-            let is_kept = match peer.last_seen {
-                Some(at) => now.since(at) < KEEPER_SILENCE && !peer.heartbeat.leaving,
+            let counts = match peer.last_seen {
+                Some(at) => now.since(at) < QUOTA_SERVER_TIMEOUT && !peer.heartbeat.leaving,
                 None => is_young,
             };
-            is_kept && peer.record.role == MemberRole::Dispatcher
+            counts && peer.record.role == MemberRole::Dispatcher
         });
         silent.map(|peer| &peer.record).collect()
     }
 
-    /// All records.
+    /// Returns the records of all peers.
     pub fn records(&self) -> impl Iterator<Item = &MemberRecord> {
         self.peers.values().map(|peer| &peer.record)
     }
 
-    /// Where a process answers, if it is known.
+    /// Returns the address of a process, if it is known.
     pub fn address_of(&self, id: &ids::InstanceId) -> Option<net::SocketAddr> {
         self.peers.get(id).map(|peer| peer.record.address)
     }
 
-    /// Whether a process that was heard before is silent, or is not known any more.
+    /// Returns whether a process is unknown, has never been seen, or has been silent for
+    /// twice the timeout.
     pub fn is_lost(&self, id: &ids::InstanceId, now: clock::MonotonicTime) -> bool {
         let Some(peer) = self.peers.get(id) else {
             return true;
         };
-        let silence = self.silence(peer.record.role) * 2;
-        peer.last_seen.is_none_or(|at| now.since(at) > silence)
+        let timeout = self.timeout_of(peer.record.role) * 2;
+        peer.last_seen.is_none_or(|at| now.since(at) > timeout)
     }
 
-    /// Whether one run of a process has ended: the process is lost, or was heard in
-    /// another run since.
+    /// Returns whether a run of a process has ended: the process is lost or has since
+    /// been seen in another run.
     ///
-    /// One that has just started may ask before it is heard, and for those milliseconds
-    /// counts as the run before.
+    /// A process that has just restarted may send a request before its first heartbeat
+    /// arrives; for those milliseconds it counts as its previous run.
     pub fn has_ended(&self, holder: &ids::InstanceRun, now: clock::MonotonicTime) -> bool {
         let is_other = |peer: &PeerState| peer.heartbeat.run != holder.run;
         self.is_lost(&holder.instance, now)
             || self.peers.get(&holder.instance).is_some_and(is_other)
     }
 
-    /// Whether a process ever answered this process.
-    pub fn was_heard(&self, id: &ids::InstanceId) -> bool {
+    /// Returns whether a heartbeat of a process was ever received.
+    pub fn was_seen(&self, id: &ids::InstanceId) -> bool {
         self.peers
             .get(id)
             .is_some_and(|peer| peer.last_seen.is_some())
     }
 
-    fn is_heard(&self, peer: &PeerState, now: clock::MonotonicTime) -> bool {
-        let silence = self.silence(peer.record.role);
-        peer.last_seen.is_some_and(|at| now.since(at) < silence)
+    fn is_responding(&self, peer: &PeerState, now: clock::MonotonicTime) -> bool {
+        let timeout = self.timeout_of(peer.record.role);
+        peer.last_seen.is_some_and(|at| now.since(at) < timeout)
     }
 
     fn is_live(&self, peer: &PeerState, now: clock::MonotonicTime) -> bool {
-        self.is_heard(peer, now) && !peer.heartbeat.leaving
+        self.is_responding(peer, now) && !peer.heartbeat.leaving
     }
 
-    /// Where live peers answer that have a newer desired state.
-    pub fn with_newer_state(
+    /// Returns the addresses of responding peers that have a newer desired state.
+    pub fn addresses_with_newer_state(
         &self,
         known: route_table::StateVersion,
         now: clock::MonotonicTime,
     ) -> impl Iterator<Item = net::SocketAddr> + '_ {
         let peers = self.peers.values();
-        let newer = peers.filter(move |p| p.heartbeat.version > known && self.is_heard(p, now));
+        let newer =
+            peers.filter(move |p| p.heartbeat.version > known && self.is_responding(p, now));
         newer.map(|peer| peer.record.address)
     }
 
-    /// Peers that answer and stay.
+    /// Returns the peers that respond and are not draining.
     pub fn live(&self, now: clock::MonotonicTime) -> impl Iterator<Item = &MemberRecord> {
         let alive = move |peer: &&PeerState| self.is_live(peer, now);
         self.peers.values().filter(alive).map(|peer| &peer.record)
     }
 
-    /// Who may own endpoints and jobs: the live dispatchers, or else the live gateways.
+    /// Returns the processes that may own endpoints and jobs: the live dispatchers, or
+    /// the live gateways if there is no dispatcher.
     ///
-    /// A dispatcher that live peers hear counts, so that a cut between some
-    /// processes does not give an endpoint two owners. `own` is this process, if it is not leaving.
+    /// A dispatcher that is live only through other peers is included, so that a network
+    /// partition between some processes does not give an endpoint two owners. `own` is
+    /// this process, unless it is draining.
     pub fn owners(
         &self,
         own: Option<&MemberRecord>,
         now: clock::MonotonicTime,
     ) -> Vec<ownership::OwnerCandidate> {
-        let live: Vec<&MemberRecord> = self.live(now).chain(self.vouched(now)).chain(own).collect();
+        let live: Vec<&MemberRecord> = self
+            .live(now)
+            .chain(self.indirectly_live(now))
+            .chain(own)
+            .collect();
         let of_role = |role: MemberRole| -> Vec<ownership::OwnerCandidate> {
             let members = live.iter().filter(|m| m.role == role);
             let members = members.map(|m| ownership::OwnerCandidate {
@@ -359,7 +375,7 @@
             true => of_role(MemberRole::Gateway),
             false => dispatchers,
         };
-        // All processes name the same one first.
+        // All processes must agree on the order.
         owners.sort_by(|a, b| a.id.cmp(&b.id));
         owners
     }
--- a/src/serving/owners.rs
+++ b/src/serving/owners.rs
@@ -99,8 +99,8 @@
 /// that hears none who does.
 fn is_follower(context: &context::ProcessContext, now: clock::MonotonicTime) -> bool {
     let owners = context.owners();
-    let mut first = owners.iter().take(members::FOLLOWERS);
-    first.any(|o| o.id == *context.id()) || !context.members.borrow().hears_follower(now)
+    let mut first = owners.iter().take(members::STORE_FOLLOWERS);
+    first.any(|o| o.id == *context.id()) || !context.members.borrow().has_live_follower(now)
 }
 
 /// Whether the process runs for long enough to have heard its live peers.
@@ -155,7 +155,7 @@
         *context.owners.borrow_mut() = rc::Rc::new(owners);
     }
     limit_links::follow_keepers(context);
-    context.fleet.set_follows(is_follower(context, now));
+    context.fleet.set_follows_store(is_follower(context, now));
     let change_number = Some(context.fleet.change_number());
     if context.owned_at.replace(change_number) != change_number || changed {
         refresh_owned(context);
@@ -175,7 +175,7 @@
         owner.is_some_and(|o| o.id == *context.id())
     });
     let owned: Vec<_> = owned.cloned().collect();
-    let doubtful = directory.doubtful().clone();
+    let doubtful = directory.unverified().clone();
     drop(directory);
     let mut permits = context.permits.borrow_mut();
     permits.set_doubtful(doubtful);
--- a/src/serving/peer_calls.rs
+++ b/src/serving/peer_calls.rs
@@ -5,8 +5,8 @@
 use tokio::sync::mpsc;
 
 use super::{
-    context, crash_guard, job_calls, job_checkpoints, job_records, job_runner, job_sponsor,
-    limit_links, peers, slots, views,
+    context, crash_guard, fleet_sync, job_calls, job_checkpoints, job_records, job_runner,
+    job_sponsor, limit_links, peers, slots,
 };
 use crate::{decisions::admission, ids, store};
 
@@ -16,7 +16,7 @@
     mut calls: mpsc::Receiver<peers::PeerCall>,
 ) {
     while let Some(call) = calls.recv().await {
-        answer_peer(&context, call);
+        handle_call(&context, call);
     }
 }
 
@@ -27,13 +27,13 @@
     }
 }
 
-fn answer_peer(context: &rc::Rc<context::ProcessContext>, call: peers::PeerCall) {
+fn handle_call(context: &rc::Rc<context::ProcessContext>, call: peers::PeerCall) {
     use peers::PeerCall as C;
 
     match call {
-        C::Probe(hello, sender) => {
-            views::take_probe(context, &hello);
-            reply(sender, context.hello());
+        C::Probe(heartbeat, sender) => {
+            fleet_sync::receive_probe(context, &heartbeat);
+            reply(sender, context.heartbeat());
         }
         C::Acquire(request, sender) => {
             let is_owner = context.owners().iter().any(|o| o.id == *context.id());
@@ -48,7 +48,7 @@
             });
         }
         C::Release(ended) => release(context, ended),
-        C::Report(report) => take_report(context, &report),
+        C::Report(report) => apply_report(context, &report),
         C::CrashUpdate(update) => {
             crash_guard::take(context, update);
         }
@@ -58,12 +58,12 @@
             if !table.is_known() {
                 return;
             }
-            match context.state_transfer.shelf.part(request, table.state()) {
+            match context.state_transfer.cache.part(request, table.state()) {
                 Ok(part) => reply(sender, part),
                 Err(e) => log::warn!("event=state_untold why=\"{e}\""),
             }
         }
-        C::Endpoints(sender) => reply(sender, context.fleet.copy()),
+        C::Endpoints(sender) => reply(sender, context.fleet.snapshot()),
         C::Members(sender) => {
             let members = context.members.borrow();
             let own = [&context.options.member];
@@ -157,8 +157,8 @@
     }
     let now = context.clock.now();
     let mut permits = context.permits.borrow_mut();
-    let shunned = permits.shunned(&context.loads.borrow(), now);
-    let lent = permits.lend_batch(request, &shunned, now);
+    let ejected = permits.shunned(&context.loads.borrow(), now);
+    let lent = permits.lend_batch(request, &ejected, now);
     let lent = lent.into_iter();
     let slots = lent.map(|(endpoint, number)| peers::BorrowedSlot { endpoint, number });
     slots.collect()
@@ -171,8 +171,8 @@
 ) -> peers::OnlineSlotResponse {
     let now = context.clock.now();
     let mut permits = context.permits.borrow_mut();
-    let shunned = permits.shunned(&context.loads.borrow(), now);
-    let granted = permits.acquire(request, &shunned, now);
+    let ejected = permits.shunned(&context.loads.borrow(), now);
+    let granted = permits.acquire(request, &ejected, now);
     let owns = permits.owns(&request.service);
     let free_slots = permits.free_online_slots(&request.service);
     let free_queue_slots = permits.free_queue_slots(&request.service, request.wait);
@@ -231,7 +231,7 @@
     if let Some(endpoint) = released {
         if ended.is_served {
             context.loads.borrow_mut().record_served(&endpoint);
-            context.fleet.record_named(&endpoint);
+            context.fleet.record_verified(&endpoint);
         }
         context.jobs.work.notify_one();
         return;
@@ -243,7 +243,7 @@
 }
 
 /// Takes what a holder of a place saw at an endpoint.
-pub fn take_report(context: &context::ProcessContext, report: &peers::EndpointReport) {
+pub fn apply_report(context: &context::ProcessContext, report: &peers::EndpointReport) {
     let peers::EndpointReport {
         endpoint,
         started,
@@ -271,6 +271,8 @@
         peers::EndpointObservation::Full => {
             context.permits.borrow_mut().record_refused(endpoint, now)
         }
-        peers::EndpointObservation::Misnamed => context.fleet.record_misnamed(endpoint, *started),
+        peers::EndpointObservation::Misnamed => {
+            context.fleet.record_misidentified(endpoint, *started)
+        }
     }
 }
--- a/src/serving/peer_links.rs
+++ b/src/serving/peer_links.rs
@@ -8,8 +8,8 @@
 use super::{
     directory, job_records, members,
     peers::{
-        BatchSlotRequest, BorrowedSlot, EndpointReport, OnlineSlotRequest, OnlineSlotResponse,
-        PeerHello, PeerServiceClient, ResultRequest, SlotRelease, WriteOutcome,
+        BatchSlotRequest, BorrowedSlot, EndpointReport, HeartbeatMessage, OnlineSlotRequest,
+        OnlineSlotResponse, PeerServiceClient, ResultRequest, SlotRelease, WriteOutcome,
     },
     permits, progress_transfer, state_snapshot, wire,
     workspaces::limit_messages,
@@ -22,14 +22,14 @@
 /// How long nothing may come on a link before a probe without an answer ends it:
 /// as long as a probe waits. A link that is busy with a large answer brings its
 /// bytes meanwhile, and a new one would have to begin anew.
-const LINK_SILENCE: time::Duration = time::Duration::from_millis(400);
+const LINK_IDLE_TIMEOUT: time::Duration = time::Duration::from_millis(400);
 
 /// Longest wait for a list of endpoints that comes on, a guard against one that
 /// never ends: 1,600 endpoints, 87 KB, take 4.4 s at 20 KB/s.
 const LIST_TIMEOUT: time::Duration = time::Duration::from_secs(5);
 
 /// Pause after a failed connection.
-pub(super) const RECONNECT_PAUSE: time::Duration = time::Duration::from_millis(200);
+pub(super) const RECONNECT_DELAY: time::Duration = time::Duration::from_millis(200);
 
 /// Largest message, in bytes: a job or its results with some spare.
 const MAX_FRAME_BYTES: usize = 8 << 20;
@@ -49,7 +49,7 @@
     generation: LinkGeneration,
     client: PeerServiceClient,
     /// When bytes came on it last; at first when it was made.
-    heard_at: rc::Rc<cell::Cell<clock::BootInstant>>,
+    last_received_at: rc::Rc<cell::Cell<clock::BootInstant>>,
     /// Dropped with the link: the end of this channel ends its task.
     _closing: oneshot::Sender<convert::Infallible>,
 }
@@ -83,7 +83,7 @@
     /// The generation of the latest link.
     latest: rc::Rc<cell::Cell<u64>>,
     /// Told when a connection was made or failed.
-    settled: rc::Rc<tokio::sync::Notify>,
+    connect_finished: rc::Rc<tokio::sync::Notify>,
 }
 
 /// Why a peer gave no answer.
@@ -101,13 +101,13 @@
 }
 
 /// Deadline of a call, from now.
-fn within(timeout: time::Duration) -> tarpc::context::Context {
+fn deadline_in(timeout: time::Duration) -> tarpc::context::Context {
     let mut context = tarpc::context::current();
     context.deadline = time::Instant::now() + timeout;
     context
 }
 
-fn outcome<T>(response: Result<Option<T>, tarpc::client::RpcError>) -> Result<T, PeerError> {
+fn into_result<T>(response: Result<Option<T>, tarpc::client::RpcError>) -> Result<T, PeerError> {
     match response {
         Ok(Some(value)) => Ok(value),
         Err(tarpc::client::RpcError::DeadlineExceeded) => Err(PeerError::TimedOut),
@@ -119,18 +119,18 @@
 macro_rules! call_peer {
     ($links:expr, $peer:expr, $timeout:expr, $method:ident($($argument:expr),*)) => {{
         let client = $links.connected($peer).ok_or(PeerError::NotSent)?;
-        outcome(client.$method(within($timeout), $($argument),*).await)
+        into_result(client.$method(deadline_in($timeout), $($argument),*).await)
     }};
 }
 
 /// Tells a peer something that has no answer; what is lost is made up for otherwise.
-macro_rules! tell_peer {
+macro_rules! notify_peer {
     ($links:expr, $peer:expr, $method:ident($argument:expr)) => {{
         let Some(client) = $links.connected($peer) else {
             return;
         };
         actix_rt::spawn(async move {
-            let sent = client.$method(within(members::PEER_SILENCE), $argument);
+            let sent = client.$method(deadline_in(members::PEER_TIMEOUT), $argument);
             if let Err(e) = sent.await {
                 log::debug!(
                     "event=message_lost kind={} why=\"{e}\"",
@@ -145,15 +145,16 @@
 ///
 /// Said twice it does no harm. A place that is held for nobody is missed by callers for
 /// as long as a permit lives: sixteen of them fill a service of two endpoints.
-macro_rules! tell_until_heard {
+macro_rules! notify_with_retry {
     ($links:expr, $peer:expr, $method:ident($argument:expr)) => {{
         let links = $links.clone();
         actix_rt::spawn(async move {
-            let begun = clock::BootInstant::now();
+            let started_at = clock::BootInstant::now();
             loop {
-                links.settle($peer).await;
+                links.try_connect($peer).await;
                 if let Some(client) = links.connected($peer) {
-                    let sent = client.$method(within(members::PEER_SILENCE), $argument.clone());
+                    let sent =
+                        client.$method(deadline_in(members::PEER_TIMEOUT), $argument.clone());
                     match sent.await {
                         Ok(()) => return,
                         Err(e) => log::debug!(
@@ -162,10 +163,10 @@
                         ),
                     }
                 }
-                if begun.elapsed() >= permits::PERMIT_TTL {
+                if started_at.elapsed() >= permits::PERMIT_TTL {
                     return;
                 }
-                actix_rt::time::sleep(RECONNECT_PAUSE).await;
+                actix_rt::time::sleep(RECONNECT_DELAY).await;
             }
         });
     }};
@@ -179,10 +180,10 @@
     pub async fn probe(
         &self,
         peer: net::SocketAddr,
-        hello: PeerHello,
+        heartbeat: HeartbeatMessage,
         timeout: time::Duration,
-    ) -> Result<PeerHello, PeerError> {
-        call_peer!(self, peer, timeout, probe(hello))
+    ) -> Result<HeartbeatMessage, PeerError> {
+        call_peer!(self, peer, timeout, probe(heartbeat))
     }
 
     /// Draws tokens of a workspace from a keeper, or through a gateway that reaches it.
@@ -214,17 +215,17 @@
     /// Gives a place back, also where its owner is out of reach for a while: the place is
     /// held until it hears of it, or until the permit expires.
     pub fn release(&self, peer: net::SocketAddr, release: SlotRelease) {
-        tell_until_heard!(self, peer, release(release));
+        notify_with_retry!(self, peer, release(release));
     }
 
     /// Tells an owner of a failure at one of its endpoints.
     pub fn report(&self, peer: net::SocketAddr, report: EndpointReport) {
-        tell_peer!(self, peer, report(report));
+        notify_peer!(self, peer, report(report));
     }
 
     /// Tells an owner of a request under which an endpoint ended, or that was served since.
     pub fn crash_news(&self, peer: net::SocketAddr, update: crash_ledger::CrashUpdate) {
-        tell_peer!(self, peer, crash_news(update));
+        notify_peer!(self, peer, crash_news(update));
     }
 
     /// Asks for all that a peer knows of such requests: up to 200 KB, which is waited for
@@ -235,12 +236,12 @@
     pub async fn crashes(
         &self,
         peer: net::SocketAddr,
-        silence: time::Duration,
+        idle: time::Duration,
     ) -> Result<Vec<crash_ledger::CrashUpdate>, PeerError> {
-        let asking = async { call_peer!(self, peer, LIST_TIMEOUT, crashes()) };
+        let request = async { call_peer!(self, peer, LIST_TIMEOUT, crashes()) };
         tokio::select! {
-            response = asking => response,
-            () = self.silence(peer, silence) => Err(PeerError::TimedOut),
+            response = request => response,
+            () = self.wait_until_idle(peer, idle) => Err(PeerError::TimedOut),
         }
     }
 
@@ -265,12 +266,12 @@
     pub async fn endpoints(
         &self,
         peer: net::SocketAddr,
-        silence: time::Duration,
+        idle: time::Duration,
     ) -> Result<directory::DirectorySnapshot, PeerError> {
-        let asking = async { call_peer!(self, peer, LIST_TIMEOUT, endpoints()) };
+        let request = async { call_peer!(self, peer, LIST_TIMEOUT, endpoints()) };
         tokio::select! {
-            response = asking => response,
-            () = self.silence(peer, silence) => Err(PeerError::TimedOut),
+            response = request => response,
+            () = self.wait_until_idle(peer, idle) => Err(PeerError::TimedOut),
         }
     }
 
@@ -341,7 +342,7 @@
 
     /// Tells that a job was ended; the mark in the store says the same.
     pub fn end_job(&self, peer: net::SocketAddr, job: ids::JobId) {
-        tell_peer!(self, peer, end_job(job));
+        notify_peer!(self, peer, end_job(job));
     }
 
     /// Asks an owner for places for batch streams.
@@ -359,17 +360,17 @@
 
     /// Gives a place of a batch stream back, also where its owner is out of reach for a while.
     pub fn give_back(&self, peer: net::SocketAddr, slot: BorrowedSlot) {
-        tell_until_heard!(self, peer, give_back(slot));
+        notify_with_retry!(self, peer, give_back(slot));
     }
 
     /// Gives back what may have been lent to a question whose answer did not come.
     pub fn cancel_lent(&self, peer: net::SocketAddr, number: u64) {
-        tell_until_heard!(self, peer, cancel_lent(number));
+        notify_with_retry!(self, peer, cancel_lent(number));
     }
 
     /// Takes a place of a batch stream back.
     pub fn preempt(&self, peer: net::SocketAddr, slot: BorrowedSlot) {
-        tell_peer!(self, peer, preempt(slot));
+        notify_peer!(self, peer, preempt(slot));
     }
 
     /// Has a peer write an accepted job.
@@ -412,7 +413,7 @@
         match table.get(&peer) {
             Some(LinkState::Connected(link)) => return Some(link.client.clone()),
             Some(LinkState::Connecting(_)) => return None,
-            Some(LinkState::Failed(at)) if at.elapsed() < RECONNECT_PAUSE => return None,
+            Some(LinkState::Failed(at)) if at.elapsed() < RECONNECT_DELAY => return None,
             _ => {}
         }
         let generation = self.next_generation();
@@ -428,18 +429,18 @@
     }
 
     /// Ends once nothing has come on the link to a peer for so long, from now on.
-    async fn silence(&self, peer: net::SocketAddr, limit: time::Duration) {
-        let mut latest = clock::BootInstant::now();
-        while latest.elapsed() < limit {
-            actix_rt::time::sleep(limit.saturating_sub(latest.elapsed())).await;
+    async fn wait_until_idle(&self, peer: net::SocketAddr, limit: time::Duration) {
+        let mut last_received = clock::BootInstant::now();
+        while last_received.elapsed() < limit {
+            actix_rt::time::sleep(limit.saturating_sub(last_received.elapsed())).await;
             if let Some(LinkState::Connected(link)) = self.table.borrow().get(&peer) {
-                latest = latest.max(link.heard_at.get());
+                last_received = last_received.max(link.last_received_at.get());
             }
         }
     }
 
     /// Begins to connect to a peer if there is need, and waits for the outcome.
-    pub async fn settle(&self, peer: net::SocketAddr) {
+    pub async fn try_connect(&self, peer: net::SocketAddr) {
         if self.connected(peer).is_some() {
             return;
         }
@@ -448,20 +449,20 @@
             matches!(table.get(&peer), Some(LinkState::Connecting(_)))
         };
         while is_connecting() {
-            self.settled.notified().await;
+            self.connect_finished.notified().await;
         }
     }
 
     /// Connects to a peer that is about to answer, as it has just started: says
     /// whether it does within a while.
-    pub async fn reach(&self, peer: net::SocketAddr, timeout: time::Duration) -> bool {
-        let begun = clock::BootInstant::now();
+    pub async fn connect_within(&self, peer: net::SocketAddr, timeout: time::Duration) -> bool {
+        let started_at = clock::BootInstant::now();
         loop {
-            self.settle(peer).await;
-            if self.is_connected(peer) || begun.elapsed() >= timeout {
+            self.try_connect(peer).await;
+            if self.is_connected(peer) || started_at.elapsed() >= timeout {
                 return self.is_connected(peer);
             }
-            actix_rt::time::sleep(RECONNECT_PAUSE / 4).await;
+            actix_rt::time::sleep(RECONNECT_DELAY / 4).await;
         }
     }
 
@@ -474,7 +475,7 @@
         }
         table.insert(peer, state);
         drop(table);
-        self.settled.notify_waiters();
+        self.connect_finished.notify_waiters();
     }
 
     /// Ends the connection to a peer that left a probe without an answer, so that
@@ -482,31 +483,31 @@
     ///
     /// A connection on which something else came meanwhile is kept, and so is one
     /// that was made after the probe went out.
-    pub fn forget(&self, peer: net::SocketAddr) {
+    pub fn close_if_silent(&self, peer: net::SocketAddr) {
         let mut table = self.table.borrow_mut();
         let Some(LinkState::Connected(link)) = table.get(&peer) else {
             return;
         };
-        let silence = link.heard_at.get().elapsed();
+        let idle = link.last_received_at.get().elapsed();
         let generation = link.generation.0;
-        if silence < LINK_SILENCE {
+        if idle < LINK_IDLE_TIMEOUT {
             log::debug!("event=peer_link_busy peer={peer} generation={generation}");
             return;
         }
-        let silent_ms = silence.as_millis();
+        let silent_ms = idle.as_millis();
         log::info!("event=peer_link_silent peer={peer} generation={generation} ms={silent_ms}");
         table.insert(peer, LinkState::failed());
     }
 }
 
 async fn open(peer: net::SocketAddr) -> io::Result<tokio::net::TcpStream> {
-    let opening = async {
+    let connecting = async {
         let socket = tokio::net::TcpStream::connect(peer).await?;
         socket.set_nodelay(true)?;
         Ok(socket)
     };
-    let opened = tokio::time::timeout(CONNECT_TIMEOUT, opening).await;
-    opened.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
+    let connected = tokio::time::timeout(CONNECT_TIMEOUT, connecting).await;
+    connected.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
 }
 
 /// Makes a link and carries it, until it is lost or given up.
@@ -518,22 +519,23 @@
             return links.record(peer, generation, LinkState::failed());
         }
     };
-    let heard_at = rc::Rc::new(cell::Cell::new(clock::BootInstant::now()));
-    let heard = heard_at.clone();
-    let socket = io_util::InspectReader::new(socket, move |_| heard.set(clock::BootInstant::now()));
+    let last_received_at = rc::Rc::new(cell::Cell::new(clock::BootInstant::now()));
+    let received_at = last_received_at.clone();
+    let socket =
+        io_util::InspectReader::new(socket, move |_| received_at.set(clock::BootInstant::now()));
     let codec = tarpc::tokio_serde::formats::Bincode::default();
     let transport = tarpc::serde_transport::new(frames().new_framed(socket), codec);
-    let new = PeerServiceClient::new(tarpc::client::Config::default(), transport);
+    let spawned = PeerServiceClient::new(tarpc::client::Config::default(), transport);
     let (closing, closed) = oneshot::channel();
     let link = OpenLink {
         generation,
-        client: new.client,
-        heard_at,
+        client: spawned.client,
+        last_received_at,
         _closing: closing,
     };
     links.record(peer, generation, LinkState::Connected(link));
     tokio::select! {
-        ended = new.dispatch => {
+        ended = spawned.dispatch => {
             log::info!("event=peer_link_lost peer={peer} why=\"{ended:?}\"");
             links.record(peer, generation, LinkState::failed());
         }
--- a/src/serving/peer_server.rs
+++ b/src/serving/peer_server.rs
@@ -8,10 +8,10 @@
 
 use super::{
     directory, job_records, members,
-    peer_links::{frames, RECONNECT_PAUSE},
+    peer_links::{frames, RECONNECT_DELAY},
     peers::{
-        BatchSlotRequest, BorrowedSlot, EndpointReport, OnlineSlotRequest, OnlineSlotResponse,
-        PeerCall, PeerHello, PeerService, ResultRequest, SlotRelease, WriteOutcome,
+        BatchSlotRequest, BorrowedSlot, EndpointReport, HeartbeatMessage, OnlineSlotRequest,
+        OnlineSlotResponse, PeerCall, PeerService, ResultRequest, SlotRelease, WriteOutcome,
     },
     progress_transfer, state_snapshot, wire,
     workspaces::limit_messages,
@@ -19,12 +19,12 @@
 use crate::{decisions::crash_ledger, ids};
 
 /// Calls of peers that may wait for the process; beyond, peers wait.
-const RING_CALLS: usize = 1024;
+const CALL_QUEUE_CAPACITY: usize = 1024;
 
 /// Hands the calls of one peer to the process.
 #[derive(Clone)]
 struct PeerServer {
-    ring: mpsc::Sender<PeerCall>,
+    calls: mpsc::Sender<PeerCall>,
 }
 
 impl PeerServer {
@@ -34,21 +34,25 @@
         call: impl FnOnce(oneshot::Sender<T>) -> PeerCall,
     ) -> Option<T> {
         let (reply, response) = oneshot::channel();
-        self.ring.send(call(reply)).await.ok()?;
+        self.calls.send(call(reply)).await.ok()?;
         response.await.ok()
     }
 
     /// Hands a message over that has no answer.
-    async fn tell(&self, call: PeerCall) {
-        if self.ring.send(call).await.is_err() {
+    async fn notify(&self, call: PeerCall) {
+        if self.calls.send(call).await.is_err() {
             log::debug!("event=message_unheard");
         }
     }
 }
 
 impl PeerService for PeerServer {
-    async fn probe(self, _: tarpc::context::Context, hello: PeerHello) -> Option<PeerHello> {
-        self.send_request(|reply| PeerCall::Probe(hello, reply))
+    async fn probe(
+        self,
+        _: tarpc::context::Context,
+        heartbeat: HeartbeatMessage,
+    ) -> Option<HeartbeatMessage> {
+        self.send_request(|reply| PeerCall::Probe(heartbeat, reply))
             .await
     }
 
@@ -62,11 +66,11 @@
     }
 
     async fn release(self, _: tarpc::context::Context, release: SlotRelease) {
-        self.tell(PeerCall::Release(release)).await;
+        self.notify(PeerCall::Release(release)).await;
     }
 
     async fn report(self, _: tarpc::context::Context, report: EndpointReport) {
-        self.tell(PeerCall::Report(report)).await;
+        self.notify(PeerCall::Report(report)).await;
     }
 
     async fn state_part(
@@ -79,7 +83,7 @@
     }
 
     async fn crash_news(self, _: tarpc::context::Context, update: crash_ledger::CrashUpdate) {
-        self.tell(PeerCall::CrashUpdate(update)).await;
+        self.notify(PeerCall::CrashUpdate(update)).await;
     }
 
     async fn crashes(self, _: tarpc::context::Context) -> Option<Vec<crash_ledger::CrashUpdate>> {
@@ -127,7 +131,7 @@
     }
 
     async fn end_job(self, _: tarpc::context::Context, job: ids::JobId) {
-        self.tell(PeerCall::EndJob(job)).await;
+        self.notify(PeerCall::EndJob(job)).await;
     }
 
     async fn lend(
@@ -140,15 +144,15 @@
     }
 
     async fn give_back(self, _: tarpc::context::Context, slot: BorrowedSlot) {
-        self.tell(PeerCall::GiveBack(slot)).await;
+        self.notify(PeerCall::GiveBack(slot)).await;
     }
 
     async fn cancel_lent(self, _: tarpc::context::Context, number: u64) {
-        self.tell(PeerCall::CancelLent(number)).await;
+        self.notify(PeerCall::CancelLent(number)).await;
     }
 
     async fn preempt(self, _: tarpc::context::Context, slot: BorrowedSlot) {
-        self.tell(PeerCall::Preempt(slot)).await;
+        self.notify(PeerCall::Preempt(slot)).await;
     }
 
     async fn write_job(
@@ -183,17 +187,19 @@
     let listener = net::TcpListener::bind(listen)?;
     listener.set_nonblocking(true)?;
     let listener = tokio::net::TcpListener::from_std(listener)?;
-    let (ring, calls) = mpsc::channel(RING_CALLS);
+    let (sender, calls) = mpsc::channel(CALL_QUEUE_CAPACITY);
     actix_rt::spawn(async move {
-        while !ring.is_closed() {
+        while !sender.is_closed() {
             match listener.accept().await {
                 Ok((socket, _)) => {
-                    let server = PeerServer { ring: ring.clone() };
+                    let server = PeerServer {
+                        calls: sender.clone(),
+                    };
                     actix_rt::spawn(serve_peer(socket, server));
                 }
                 Err(e) => {
                     log::warn!("event=peer_accept_failed why=\"{e}\"");
-                    actix_rt::time::sleep(RECONNECT_PAUSE).await;
+                    actix_rt::time::sleep(RECONNECT_DELAY).await;
                 }
             }
         }
--- a/src/serving/peers.rs
+++ b/src/serving/peers.rs
@@ -17,7 +17,7 @@
 
 /// What a process says of itself at each probe.
 #[derive(Debug, Clone, serde::Serialize, serde::Deserialize)]
-pub struct PeerHello {
+pub struct HeartbeatMessage {
     /// The process.
     pub id: ids::InstanceId,
     /// Which of its runs this is.
@@ -34,7 +34,7 @@
     pub digest: u64,
     /// Dispatchers that it hears itself.
     #[serde(rename = "hears")]
-    pub receives_from: Vec<members::MemberMark>,
+    pub receives_from: Vec<members::MemberHash>,
     /// Whether it follows the store itself, and the store answers.
     pub follows_store: bool,
     /// Digest of the processes that it knows.
@@ -165,7 +165,7 @@
 #[tarpc::service]
 pub trait PeerService {
     /// Exchanges heartbeats.
-    async fn probe(hello: PeerHello) -> Option<PeerHello>;
+    async fn probe(heartbeat: HeartbeatMessage) -> Option<HeartbeatMessage>;
     /// Asks for a place for an online request.
     async fn acquire(request: OnlineSlotRequest) -> Option<OnlineSlotResponse>;
     /// Gives a place back.
@@ -217,7 +217,7 @@
 /// A call of a peer, and where its answer goes.
 pub enum PeerCall {
     /// See [`PeerService::probe`].
-    Probe(PeerHello, oneshot::Sender<PeerHello>),
+    Probe(HeartbeatMessage, oneshot::Sender<HeartbeatMessage>),
     /// See [`PeerService::acquire`].
     Acquire(OnlineSlotRequest, oneshot::Sender<OnlineSlotResponse>),
     /// See [`PeerService::release`].
--- a/src/serving/process.rs
+++ b/src/serving/process.rs
@@ -5,8 +5,8 @@
 use tokio::sync::mpsc;
 
 use super::{
-    checkpoint_file, context, crash_guard, job_checkpoints, job_runner, listener, members,
-    metrics_page, owners, peer_calls, peer_server, suspension, views,
+    checkpoint_file, context, crash_guard, fleet_sync, job_checkpoints, job_runner, listener,
+    members, metrics_page, owners, peer_calls, peer_server, suspension,
 };
 use crate::{clock, decisions::call_budget::CallClass, protection, store};
 
@@ -38,9 +38,9 @@
     metrics_page::start(&context)?;
     actix_rt::spawn(context.source.run(context.fleet.clone()));
     actix_rt::spawn(peer_calls::serve_peers(context.clone(), calls));
-    actix_rt::spawn(views::watch_members(context.clone()));
-    actix_rt::spawn(views::probe_peers(context.clone()));
-    actix_rt::spawn(views::refresh_views(context.clone()));
+    actix_rt::spawn(fleet_sync::watch_members(context.clone()));
+    actix_rt::spawn(fleet_sync::probe_peers(context.clone()));
+    actix_rt::spawn(fleet_sync::refresh_periodically(context.clone()));
     actix_rt::spawn(crash_guard::read_held(context.clone()));
     actix_rt::spawn(owners::tick(context.clone()));
     actix_rt::spawn(owners::follow_orders(context.clone()));
--- a/src/serving/progress_transfer.rs
+++ b/src/serving/progress_transfer.rs
@@ -201,7 +201,7 @@
 ) -> Result<bool, peer_links::PeerError> {
     let mut tries = 1;
     loop {
-        links.reach(peer, REACH_TIMEOUT).await;
+        links.connect_within(peer, REACH_TIMEOUT).await;
         let sent = links.keep_progress(peer, part.clone(), PART_TIMEOUT).await;
         if sent.is_ok() || tries >= PART_TRIES {
             return sent;
--- a/src/serving/relay.rs
+++ b/src/serving/relay.rs
@@ -131,8 +131,8 @@
     }
 
     /// Resolves when the caller's time is over.
-    pub(super) async fn time_over(&self) {
-        suspension::time_over(&self.context, || self.left()).await;
+    pub(super) async fn sleep_remaining(&self) {
+        suspension::sleep_remaining(&self.context, || self.left()).await;
     }
 
     pub(super) fn may_repeat(&self) -> bool {
@@ -180,7 +180,7 @@
             let read = tokio::select! {
                 biased;
                 read = reading => read,
-                () = self.time_over() => return Err(FinalError::Late),
+                () = self.sleep_remaining() => return Err(FinalError::Late),
             };
             match read {
                 Ok(body) => {
--- a/src/serving/request_admission.rs
+++ b/src/serving/request_admission.rs
@@ -70,8 +70,11 @@
 fn key_view(context: &context::ProcessContext, version: route_table::StateVersion) -> KeyFreshness {
     let now = context.clock.now();
     let members = context.members.borrow();
-    let is_newer_known = members.with_newer_state(version, now).next().is_some();
-    let is_followed = context.fleet.is_following() || members.hears_follower(now);
+    let is_newer_known = members
+        .addresses_with_newer_state(version, now)
+        .next()
+        .is_some();
+    let is_followed = context.fleet.is_following() || members.has_live_follower(now);
     match is_followed && !is_newer_known {
         true => KeyFreshness::Current,
         false => KeyFreshness::Stale,
--- a/src/serving/slots.rs
+++ b/src/serving/slots.rs
@@ -37,7 +37,7 @@
         let mut loads = self.context.loads.borrow_mut();
         loads.health.record_success(&self.endpoint.id);
         if !self.is_served.replace(true) {
-            self.context.fleet.record_named(&self.endpoint.id);
+            self.context.fleet.record_verified(&self.endpoint.id);
             let mut firsts = self.context.firsts.borrow_mut();
             let first = firsts.entry(self.endpoint.service.clone()).or_default();
             first.record(self.context.clock.now().since(self.taken));
@@ -62,7 +62,7 @@
     pub fn record_refused(&self, reason: outcome::NotRunReason) {
         self.is_served.set(false);
         endpoint_reports::count_refusal(&self.context, reason);
-        if let Some(observation) = endpoint_reports::of_refusal(&self.context, reason) {
+        if let Some(observation) = endpoint_reports::from_refusal(&self.context, reason) {
             self.tell(observation);
         }
     }
--- a/src/serving/slow_attempt.rs
+++ b/src/serving/slow_attempt.rs
@@ -106,7 +106,7 @@
             tokio::select! {
                 biased;
                 done = &mut waiting => return Waited::Came(done),
-                () = self.time_over() => return Waited::Lost(begun.elapsed()),
+                () = self.sleep_remaining() => return Waited::Lost(begun.elapsed()),
                 () = &mut gone => return Waited::Lost(begun.elapsed()),
                 () = &mut ended => return Waited::Lost(begun.elapsed()),
                 found = search.next_slot(self) => {
@@ -120,7 +120,7 @@
         tokio::select! {
             biased;
             done = waiting => Waited::Came(done),
-            () = self.time_over() => Waited::Lost(begun.elapsed()),
+            () = self.sleep_remaining() => Waited::Lost(begun.elapsed()),
         }
     }
 
@@ -152,7 +152,7 @@
         tokio::select! {
             biased;
             done = waiting => Waited::Came(done),
-            () = self.time_over() => Waited::Lost(begun.elapsed()),
+            () = self.sleep_remaining() => Waited::Lost(begun.elapsed()),
             () = run_ended(self.context.clone(), slot.endpoint.clone()) => {
                 Waited::Lost(begun.elapsed())
             }
@@ -361,7 +361,7 @@
     context: rc::Rc<context::ProcessContext>,
     endpoint: rc::Rc<directory::EndpointEntry>,
 ) {
-    context.fleet.other_start(&endpoint).await;
+    context.fleet.restarted(&endpoint).await;
     tokio::time::sleep(LAST_BYTES_TIME).await;
     log::info!(
         "event=run_ended endpoint={} why=\"it started again\"",
--- a/src/serving/state_snapshot.rs
+++ b/src/serving/state_snapshot.rs
@@ -22,8 +22,8 @@
 /// Most copies that are kept for transfers under way, and most bytes of them
 /// together. A state with 4,000 routes has about 0.1 MB; the newest is kept in
 /// any case.
-const KEPT_COPIES: usize = 16;
-const KEPT_BYTES: usize = 4 << 20;
+const MAX_SNAPSHOTS: usize = 16;
+const MAX_SNAPSHOT_BYTES: usize = 4 << 20;
 
 /// Tells copies of one version apart that were encoded in different ways.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
@@ -68,7 +68,7 @@
 
 /// Why a state cannot be encoded or read.
 #[derive(Debug, thiserror::Error)]
-pub enum CopyError {
+pub enum SnapshotError {
     /// The state cannot be encoded or read.
     #[error("the state cannot be carried: {0}")]
     Malformed(#[from] postcard::Error),
@@ -85,19 +85,19 @@
 
 /// An encoded state.
 #[derive(Debug, Clone)]
-struct StateCopy {
+struct EncodedSnapshot {
     id: CopyId,
     bytes: bytes::Bytes,
 }
 
-impl StateCopy {
-    fn encode(state: &route_table::DesiredState) -> Result<Self, CopyError> {
+impl EncodedSnapshot {
+    fn encode(state: &route_table::DesiredState) -> Result<Self, SnapshotError> {
         let plain = postcard::to_stdvec(state)?;
         // 4,249 routes with random names, 0.31 MB: 93 KB in 1.4 ms. The best
         // level gives 91 KB in 24 ms.
-        let mut packed = write::DeflateEncoder::new(Vec::new(), flate2::Compression::fast());
-        packed.write_all(&plain)?;
-        let bytes = packed.finish()?;
+        let mut compressed = write::DeflateEncoder::new(Vec::new(), flate2::Compression::fast());
+        compressed.write_all(&plain)?;
+        let bytes = compressed.finish()?;
         let id = CopyId {
             version: state.version,
             digest: CopyDigest(xxh3::xxh3_64(&bytes)),
@@ -118,16 +118,16 @@
     }
 }
 
-fn decode(copy: &CopyId, packed: &[u8]) -> Result<route_table::DesiredState, CopyError> {
-    if CopyDigest(xxh3::xxh3_64(packed)) != copy.digest {
-        return Err(CopyError::OtherDigest);
+fn decode(id: &CopyId, compressed: &[u8]) -> Result<route_table::DesiredState, SnapshotError> {
+    if CopyDigest(xxh3::xxh3_64(compressed)) != id.digest {
+        return Err(SnapshotError::OtherDigest);
     }
     let mut plain = Vec::new();
     let bound = MAX_STATE_BYTES as u64 + 1;
-    let mut inflated = read::DeflateDecoder::new(packed).take(bound);
+    let mut inflated = read::DeflateDecoder::new(compressed).take(bound);
     inflated.read_to_end(&mut plain)?;
     if plain.len() > MAX_STATE_BYTES {
-        return Err(CopyError::TooLarge);
+        return Err(SnapshotError::TooLarge);
     }
     Ok(postcard::from_bytes(&plain)?)
 }
@@ -139,7 +139,7 @@
 #[derive(Debug, Default)]
 pub struct SnapshotCache {
     /// The most recently used last.
-    copies: cell::RefCell<collections::VecDeque<StateCopy>>,
+    snapshots: cell::RefCell<collections::VecDeque<EncodedSnapshot>>,
 }
 
 impl SnapshotCache {
@@ -151,38 +151,40 @@
         &self,
         request: StatePartRequest,
         newest: &route_table::DesiredState,
-    ) -> Result<StatePart, CopyError> {
+    ) -> Result<StatePart, SnapshotError> {
         if let StatePartRequest::Next(id, offset) = request {
-            if let Some(copy) = self.find(|copy| copy.id == id) {
-                return Ok(copy.part(offset));
+            if let Some(snapshot) = self.find(|snapshot| snapshot.id == id) {
+                return Ok(snapshot.part(offset));
             }
         }
-        if let Some(copy) = self.find(|copy| copy.id.version == newest.version) {
-            return Ok(copy.part(0));
+        if let Some(snapshot) = self.find(|snapshot| snapshot.id.version == newest.version) {
+            return Ok(snapshot.part(0));
         }
-        let copy = StateCopy::encode(newest)?;
-        let first = copy.part(0);
-        self.keep(copy);
+        let snapshot = EncodedSnapshot::encode(newest)?;
+        let first = snapshot.part(0);
+        self.insert(snapshot);
         Ok(first)
     }
 
     /// Finds a copy, and counts it as used.
-    fn find(&self, wanted: impl Fn(&StateCopy) -> bool) -> Option<StateCopy> {
-        let mut copies = self.copies.borrow_mut();
-        let slot = copies.iter().position(wanted)?;
-        let copy = copies.remove(slot)?;
-        copies.push_back(copy.clone());
-        Some(copy)
+    fn find(&self, is_wanted: impl Fn(&EncodedSnapshot) -> bool) -> Option<EncodedSnapshot> {
+        let mut snapshots = self.snapshots.borrow_mut();
+        let index = snapshots.iter().position(is_wanted)?;
+        let snapshot = snapshots.remove(index)?;
+        snapshots.push_back(snapshot.clone());
+        Some(snapshot)
     }
 
-    fn keep(&self, copy: StateCopy) {
-        let mut copies = self.copies.borrow_mut();
-        copies.push_back(copy);
-        let bytes = |copies: &collections::VecDeque<StateCopy>| -> usize {
-            copies.iter().map(|copy| copy.bytes.len()).sum()
+    fn insert(&self, snapshot: EncodedSnapshot) {
+        let mut snapshots = self.snapshots.borrow_mut();
+        snapshots.push_back(snapshot);
+        let bytes = |snapshots: &collections::VecDeque<EncodedSnapshot>| -> usize {
+            snapshots.iter().map(|snapshot| snapshot.bytes.len()).sum()
         };
-        while copies.len() > KEPT_COPIES || (copies.len() > 1 && bytes(&copies) > KEPT_BYTES) {
-            copies.pop_front();
+        while snapshots.len() > MAX_SNAPSHOTS
+            || (snapshots.len() > 1 && bytes(&snapshots) > MAX_SNAPSHOT_BYTES)
+        {
+            snapshots.pop_front();
         }
     }
 }
@@ -193,11 +195,11 @@
     /// It was added, and more are to come.
     Added,
     /// It was the last one.
-    Whole(route_table::DesiredState),
+    Complete(route_table::DesiredState),
     /// It belongs to another copy, or another place: nothing was added.
-    Unfit(StatePart),
+    Mismatched(StatePart),
     /// It is of no use, and nor is what was there before.
-    Refused(CopyError),
+    Invalid(SnapshotError),
 }
 
 /// A desired state that is coming in, part by part, from one peer or several.
@@ -213,14 +215,14 @@
     /// What to ask for next.
     pub fn next_request(&self) -> StatePartRequest {
         match self.copy {
-            Some(copy) => StatePartRequest::Next(copy, self.bytes.len()),
+            Some(id) => StatePartRequest::Next(id, self.bytes.len()),
             None => StatePartRequest::First,
         }
     }
 
     /// Version of the state that is coming in.
     pub fn version(&self) -> Option<route_table::StateVersion> {
-        self.copy.map(|copy| copy.version)
+        self.copy.map(|id| id.version)
     }
 
     /// Forgets what came so far.
@@ -231,22 +233,22 @@
     /// Adds a part; the first one of another copy only after [`Self::clear`].
     pub fn add(&mut self, part: StatePart) -> PartOutcome {
         if part.copy.total > MAX_STATE_BYTES {
-            return PartOutcome::Refused(CopyError::TooLarge);
+            return PartOutcome::Invalid(SnapshotError::TooLarge);
         }
-        let copy = *self.copy.get_or_insert(part.copy);
-        let is_next = part.copy == copy && part.offset == self.bytes.len();
-        let left = copy.total.saturating_sub(self.bytes.len());
+        let id = *self.copy.get_or_insert(part.copy);
+        let is_next = part.copy == id && part.offset == self.bytes.len();
+        let left = id.total.saturating_sub(self.bytes.len());
         if !is_next || part.bytes.is_empty() || part.bytes.len() > left {
-            return PartOutcome::Unfit(part);
+            return PartOutcome::Mismatched(part);
         }
         self.bytes.extend_from_slice(&part.bytes);
-        if self.bytes.len() < copy.total {
+        if self.bytes.len() < id.total {
             return PartOutcome::Added;
         }
-        let packed = std::mem::take(self).bytes;
-        match decode(&copy, &packed) {
-            Ok(state) => PartOutcome::Whole(state),
-            Err(e) => PartOutcome::Refused(e),
+        let compressed = std::mem::take(self).bytes;
+        match decode(&id, &compressed) {
+            Ok(state) => PartOutcome::Complete(state),
+            Err(e) => PartOutcome::Invalid(e),
         }
     }
 }
--- a/src/serving/state_transfer.rs
+++ b/src/serving/state_transfer.rs
@@ -19,7 +19,7 @@
 /// A peer whose part took longer is left for another that has the state: a
 /// slowed process would make a transfer of 15 parts last for seconds. A part
 /// takes 4 to 8 ms where nothing is slow.
-const SLOW_PART: time::Duration = time::Duration::from_millis(100);
+const SLOW_PART_THRESHOLD: time::Duration = time::Duration::from_millis(100);
 
 /// Peers that may fail in a row, and copies that may be begun anew, before the
 /// transfer waits for the next heartbeat, 250 ms at most.
@@ -29,7 +29,7 @@
 #[derive(Debug, Default)]
 pub struct StateTransfer {
     /// Copies for peers.
-    pub shelf: state_snapshot::SnapshotCache,
+    pub cache: state_snapshot::SnapshotCache,
     incoming: cell::RefCell<state_snapshot::IncomingSnapshot>,
     flight: single_flight::SingleFlight,
 }
@@ -45,13 +45,13 @@
 /// A transfer under way.
 struct TransferRun {
     context: rc::Rc<context::ProcessContext>,
-    begun: clock::BootInstant,
+    started_at: clock::BootInstant,
     parts: u32,
     failures: u32,
     /// The peer that gave the latest part.
     source: Option<net::SocketAddr>,
     /// Whether only the source is asked: others do not have the copy that is coming in.
-    keeps_source: bool,
+    is_pinned: bool,
     /// Copies that were begun anew, as no peer had the one that was coming in.
     restarts: u32,
 }
@@ -64,15 +64,15 @@
         return;
     };
     let mut run = TransferRun {
-        begun: clock::BootInstant::now(),
+        started_at: clock::BootInstant::now(),
         parts: 0,
         failures: 0,
         source: None,
-        keeps_source: false,
+        is_pinned: false,
         restarts: 0,
         context,
     };
-    run.forget_older();
+    run.drop_outdated();
     let mut peer = peer;
     while let NextStep::From(next) = run.step(peer).await {
         peer = next;
@@ -85,7 +85,7 @@
     }
 
     /// Drops what came of a state that is not newer any more.
-    fn forget_older(&self) {
+    fn drop_outdated(&self) {
         let known = self.context.fleet.table().version();
         let mut incoming = self.incoming();
         if incoming.version().is_some_and(|version| version <= known) {
@@ -96,20 +96,20 @@
     /// Asks a peer for one part.
     async fn step(&mut self, peer: net::SocketAddr) -> NextStep {
         let links = self.context.links.clone();
-        links.settle(peer).await;
+        links.try_connect(peer).await;
         let request = self.incoming().next_request();
-        let asked = clock::BootInstant::now();
+        let requested_at = clock::BootInstant::now();
         match links.state_part(peer, request, PART_TIMEOUT).await {
-            Ok(part) => self.take_part(peer, part, asked.elapsed()),
-            Err(e) => self.pass_over(peer, e),
+            Ok(part) => self.handle_part(peer, part, requested_at.elapsed()),
+            Err(e) => self.switch_peer(peer, e),
         }
     }
 
-    fn take_part(
+    fn handle_part(
         &mut self,
         peer: net::SocketAddr,
         part: state_snapshot::StatePart,
-        took: time::Duration,
+        duration: time::Duration,
     ) -> NextStep {
         use state_snapshot::PartOutcome as O;
 
@@ -122,15 +122,15 @@
         match added {
             O::Added => {
                 self.record_part(peer);
-                NextStep::From(self.next_peer(peer, took))
+                NextStep::From(self.next_peer(peer, duration))
             }
-            O::Whole(state) => {
+            O::Complete(state) => {
                 self.record_part(peer);
-                self.take_whole(peer, copy, state);
+                self.apply_state(peer, copy, state);
                 NextStep::Stop
             }
-            O::Unfit(part) => self.take_other(peer, part),
-            O::Refused(e) => {
+            O::Mismatched(part) => self.handle_mismatch(peer, part),
+            O::Invalid(e) => {
                 log::warn!("event=peer_state_unreadable peer={peer} copy={copy:?} why=\"{e}\"");
                 self.incoming().clear();
                 NextStep::Stop
@@ -144,7 +144,7 @@
         self.source = Some(peer);
     }
 
-    fn take_whole(
+    fn apply_state(
         &self,
         peer: net::SocketAddr,
         copy: state_snapshot::CopyId,
@@ -155,17 +155,21 @@
             copy.version,
             copy.total,
             self.parts,
-            self.begun.elapsed().as_millis()
+            self.started_at.elapsed().as_millis()
         );
         let update = fleet_source::FleetUpdate::State(state);
-        self.context.fleet.take(update);
+        self.context.fleet.apply(update);
     }
 
     /// A part of another copy: goes back to the peer that has the copy that is
     /// coming in; if there is none, the other copy is taken.
-    fn take_other(&mut self, peer: net::SocketAddr, part: state_snapshot::StatePart) -> NextStep {
+    fn handle_mismatch(
+        &mut self,
+        peer: net::SocketAddr,
+        part: state_snapshot::StatePart,
+    ) -> NextStep {
         if let Some(source) = self.source.filter(|source| *source != peer) {
-            self.keeps_source = true;
+            self.is_pinned = true;
             return NextStep::From(source);
         }
         self.incoming().clear();
@@ -184,13 +188,13 @@
     }
 
     /// Goes on with another peer, if there is one.
-    fn pass_over(&mut self, peer: net::SocketAddr, reason: peer_links::PeerError) -> NextStep {
+    fn switch_peer(&mut self, peer: net::SocketAddr, reason: peer_links::PeerError) -> NextStep {
         self.count("state_missing", 0);
         log::info!("event=peer_state_missing peer={peer} why=\"{reason}\"");
         self.failures += 1;
         if self.source == Some(peer) {
             self.source = None;
-            self.keeps_source = false;
+            self.is_pinned = false;
         }
         if self.failures > MAX_FAILURES {
             return NextStep::Stop;
@@ -202,8 +206,8 @@
     }
 
     /// The same peer, or after a slow part another one.
-    fn next_peer(&self, peer: net::SocketAddr, took: time::Duration) -> net::SocketAddr {
-        if took < SLOW_PART || self.keeps_source {
+    fn next_peer(&self, peer: net::SocketAddr, duration: time::Duration) -> net::SocketAddr {
+        if duration < SLOW_PART_THRESHOLD || self.is_pinned {
             return peer;
         }
         self.other_peer(peer).unwrap_or(peer)
@@ -214,7 +218,7 @@
         let known = self.context.fleet.table().version();
         let now = self.context.clock.now();
         let members = self.context.members.borrow();
-        let newer = members.with_newer_state(known, now);
+        let newer = members.addresses_with_newer_state(known, now);
         let others: Vec<_> = newer.filter(|address| *address != peer).collect();
         others.choose(&mut rand::rng()).copied()
     }
--- a/src/serving/suspension.rs
+++ b/src/serving/suspension.rs
@@ -24,28 +24,28 @@
         log::warn!("event=suspended ms={}", duration.as_millis());
         context.wakes.send_modify(|count| *count += 1);
         // Watches that were under way may have ended at the store without a word.
-        context.fleet.take(fleet_source::FleetUpdate::Returned);
-        context.members_news.notify_one();
+        context.fleet.apply(fleet_source::FleetUpdate::Recovered);
+        context.members_changed.notify_one();
     }
 }
 
 /// Resolves when a time is over, though the machine is suspended meanwhile.
 ///
 /// `left` tells how much of it is left, by a clock that counts on.
-pub(super) async fn time_over(
+pub(super) async fn sleep_remaining(
     context: &context::ProcessContext,
-    left: impl Fn() -> time::Duration,
+    remaining: impl Fn() -> time::Duration,
 ) {
     let mut wakes = context.wakes.subscribe();
     loop {
-        let rest = left();
-        if rest.is_zero() {
+        let duration = remaining();
+        if duration.is_zero() {
             return;
         }
         tokio::select! {
-            () = tokio::time::sleep(rest) => {}
+            () = tokio::time::sleep(duration) => {}
             woken = wakes.changed() => if woken.is_err() {
-                return tokio::time::sleep(left()).await;
+                return tokio::time::sleep(remaining()).await;
             },
         }
     }
--- a/tests/endpoint_runs.rs
+++ b/tests/endpoint_runs.rs
@@ -7,7 +7,7 @@
     decisions::{endpoint_backoff, retry},
     ids,
     serving::{
-        directory::{ChangeTerms, EndpointDirectory, EndpointEntry, ListChange},
+        directory::{ChangeTiming, EndpointChange, EndpointDirectory, EndpointEntry},
         peers, permits,
     },
 };
@@ -38,10 +38,10 @@
 }
 
 /// What the store tells at a moment.
-fn from_store(millis: u64) -> ChangeTerms {
-    ChangeTerms {
-        gone_at: None,
-        earlier_at: Some(at(millis + 2500)),
+fn from_store(millis: u64) -> ChangeTiming {
+    ChangeTiming {
+        remove_at: None,
+        apply_earlier_at: Some(at(millis + 2500)),
     }
 }
 
@@ -63,7 +63,7 @@
 ) {
     let mut directory = EndpointDirectory::default();
     for (name, started) in told {
-        let change = ListChange::Listed(entry(name, 1, *started));
+        let change = EndpointChange::Listed(entry(name, 1, *started));
         directory.apply(vec![change], from_store(0));
     }
     assert_eq!(names(&directory), usable);
@@ -77,38 +77,38 @@
 fn the_earlier_start_is_back_once_the_later_one_is_gone_or_misnamed() {
     let mut directory = EndpointDirectory::default();
     let both = [entry("a", 1, Some(5)), entry("b", 1, Some(9))];
-    let both = both.map(ListChange::Listed).to_vec();
+    let both = both.map(EndpointChange::Listed).to_vec();
     directory.apply(both, from_store(0));
-    assert!(directory.record_misnamed(&id("b"), Some(ids::StartTime(9)), at(0)));
+    assert!(directory.record_misidentified(&id("b"), Some(ids::StartTime(9)), at(0)));
     assert_eq!(names(&directory), ["a:1"]);
-    assert!(directory.retry_misnamed(at(1000)));
+    assert!(directory.retry_misidentified(at(1000)));
     assert_eq!(names(&directory), ["b:1"]);
-    directory.apply(vec![ListChange::Removed(id("b"))], from_store(1000));
+    directory.apply(vec![EndpointChange::Removed(id("b"))], from_store(1000));
     assert_eq!(names(&directory), ["a:1"]);
 }
 
 #[test]
 fn an_entry_of_an_earlier_start_is_taken_only_if_it_stays() {
     let mut directory = EndpointDirectory::default();
-    let listed = |entry| vec![ListChange::Listed(entry)];
+    let listed = |entry| vec![EndpointChange::Listed(entry)];
     directory.apply(listed(entry("a", 2, Some(9))), from_store(0));
     // A late write of the start before, at another address.
     directory.apply(listed(entry("a", 1, Some(5))), from_store(100));
     assert_eq!(names(&directory), ["a:2"]);
     directory.apply(listed(entry("a", 2, Some(9))), from_store(900));
-    assert!(!directory.take_earlier(at(9000)), "it was written over");
+    assert!(!directory.apply_earlier(at(9000)), "it was written over");
     assert_eq!(names(&directory), ["a:2"]);
     // The endpoint's clock has stepped back: the entry stays.
     directory.apply(listed(entry("a", 1, Some(5))), from_store(10_000));
-    assert!(!directory.take_earlier(at(12_400)));
-    assert!(directory.take_earlier(at(12_500)));
+    assert!(!directory.apply_earlier(at(12_400)));
+    assert!(directory.apply_earlier(at(12_500)));
     assert_eq!(names(&directory), ["a:1"]);
 }
 
 #[test]
 fn to_leave_is_believed_of_an_earlier_start_too() {
     let mut directory = EndpointDirectory::default();
-    let listed = |entry| vec![ListChange::Listed(entry)];
+    let listed = |entry| vec![EndpointChange::Listed(entry)];
     directory.apply(listed(entry("a", 1, Some(9))), from_store(0));
     let leaving = EndpointEntry {
         leaving: true,
@@ -121,7 +121,7 @@
 #[test]
 fn a_new_start_ends_the_run_before_and_a_new_state_does_not() {
     let mut directory = EndpointDirectory::default();
-    let listed = |entry| vec![ListChange::Listed(entry)];
+    let listed = |entry| vec![EndpointChange::Listed(entry)];
     directory.apply(listed(entry("a", 1, Some(5))), from_store(0));
     let wider = EndpointEntry {
         slots: 9,
@@ -138,19 +138,19 @@
 #[test]
 fn a_refusal_by_mistake_costs_an_endpoint_a_second_and_a_renewed_entry_nothing() {
     let mut directory = EndpointDirectory::default();
-    let listed = |entry| vec![ListChange::Listed(entry)];
+    let listed = |entry| vec![EndpointChange::Listed(entry)];
     directory.apply(listed(entry("a", 1, Some(5))), from_store(0));
     let earlier = Some(ids::StartTime(4));
     assert!(
-        !directory.record_misnamed(&id("a"), earlier, at(0)),
+        !directory.record_misidentified(&id("a"), earlier, at(0)),
         "of another start"
     );
-    assert!(directory.record_misnamed(&id("a"), Some(ids::StartTime(5)), at(0)));
+    assert!(directory.record_misidentified(&id("a"), Some(ids::StartTime(5)), at(0)));
     assert!(names(&directory).is_empty());
-    assert!(!directory.retry_misnamed(at(900)));
-    assert!(directory.retry_misnamed(at(1000)));
+    assert!(!directory.retry_misidentified(at(900)));
+    assert!(directory.retry_misidentified(at(1000)));
     assert_eq!(names(&directory), ["a:1"]);
-    assert!(directory.record_misnamed(&id("a"), Some(ids::StartTime(5)), at(1100)));
+    assert!(directory.record_misidentified(&id("a"), Some(ids::StartTime(5)), at(1100)));
     directory.apply(listed(entry("a", 1, Some(5))), from_store(1200));
     assert_eq!(names(&directory), ["a:1"], "its writer is there");
 }
@@ -233,32 +233,32 @@
         entry("b", 1, None),
         entry("c", 2, None),
     ];
-    let both = both.map(ListChange::Listed).to_vec();
+    let both = both.map(EndpointChange::Listed).to_vec();
     directory.apply(both, from_store(0));
     let mut doubtful: Vec<_> = directory
-        .doubtful()
+        .unverified()
         .iter()
         .map(|id| id.to_string())
         .collect();
     doubtful.sort();
     assert_eq!(doubtful, ["a", "b"]);
     let mut board = board(&[entry("a", 1, None), entry("b", 1, None)]);
-    board.set_doubtful(directory.doubtful().clone());
+    board.set_doubtful(directory.unverified().clone());
     for number in 0..2 {
         assert!(board.acquire(&request(number), &none, at(0)).is_some());
     }
     assert!(board.acquire(&request(2), &none, at(0)).is_none());
     assert!(board.begin_batch(&service(), &none, at(0)).is_none());
-    assert!(directory.record_named(&id("b")));
-    assert!(directory.record_misnamed(&id("a"), None, at(0)));
-    board.set_doubtful(directory.doubtful().clone());
+    assert!(directory.record_verified(&id("b")));
+    assert!(directory.record_misidentified(&id("a"), None, at(0)));
+    board.set_doubtful(directory.unverified().clone());
     assert!(board.acquire(&request(3), &none, at(0)).is_some());
-    assert!(directory.retry_misnamed(at(1000)));
+    assert!(directory.retry_misidentified(at(1000)));
     assert!(
-        directory.doubtful().contains(&id("a")),
+        directory.unverified().contains(&id("a")),
         "it was refused before"
     );
-    assert!(!directory.doubtful().contains(&id("b")));
+    assert!(!directory.unverified().contains(&id("b")));
 }
 
 #[test]
--- a/tests/members.rs
+++ b/tests/members.rs
@@ -18,8 +18,8 @@
     let mut now = clock::MonotonicTime(1);
     let own = record("g0", members::MemberRole::Gateway);
     let mut table = members::MemberTable::default();
-    table.take(record("d2", members::MemberRole::Dispatcher));
-    table.take(record("d1", members::MemberRole::Dispatcher));
+    table.upsert(record("d2", members::MemberRole::Dispatcher));
+    table.upsert(record("d1", members::MemberRole::Dispatcher));
     let names = |table: &members::MemberTable, now| -> Vec<String> {
         let owners = table.owners(Some(&own), now);
         owners.into_iter().map(|o| o.id.to_string()).collect()
@@ -35,9 +35,9 @@
     };
     table.record_heartbeat(&"d1".parse().expect("a name"), leaving, now);
     assert_eq!(names(&table, now), ["d2"], "one that leaves owns nothing");
-    now = now + members::PEER_SILENCE;
+    now = now + members::PEER_TIMEOUT;
     assert_eq!(names(&table, now), ["g0"]);
-    table.take(record("g1", members::MemberRole::Gateway));
+    table.upsert(record("g1", members::MemberRole::Gateway));
     let g1 = "g1".parse().expect("a name");
     table.record_heartbeat(&g1, Default::default(), now);
     assert_eq!(
@@ -46,7 +46,7 @@
         "no gateway hears a dispatcher; all name the same one first"
     );
     let receives_from = members::PeerHeartbeat {
-        receives_from: vec![members::MemberMark::of(&"d1".parse().expect("a name"))],
+        receives_from: vec![members::MemberHash::of(&"d1".parse().expect("a name"))],
         ..Default::default()
     };
     table.record_heartbeat(&g1, receives_from, now);
@@ -64,7 +64,7 @@
 fn a_process_that_is_heard_in_another_run_has_ended_its_first() {
     let now = clock::MonotonicTime(1);
     let mut table = members::MemberTable::default();
-    table.take(record("g1", members::MemberRole::Gateway));
+    table.upsert(record("g1", members::MemberRole::Gateway));
     let id: ids::InstanceId = "g1".parse().expect("a name");
     let heard = |number: &str| members::PeerHeartbeat {
         run: number.parse().expect("a number"),
@@ -75,15 +75,15 @@
         run: number.parse().expect("a number"),
     };
     let mut hear = |number| table.record_heartbeat(&id, heard(number), now);
-    assert_eq!(hear("1"), members::HeardRun::First);
-    assert_eq!(hear("1"), members::HeardRun::Same);
+    assert_eq!(hear("1"), members::RunChange::First);
+    assert_eq!(hear("1"), members::RunChange::Unchanged);
     assert!(!table.has_ended(&of("1"), now));
     assert_eq!(
         table.record_heartbeat(&id, heard("2"), now),
-        members::HeardRun::Next
+        members::RunChange::Restarted
     );
     assert!(table.has_ended(&of("1"), now));
     assert!(!table.has_ended(&of("2"), now));
-    let later = now + 2 * members::PEER_SILENCE + time::Duration::from_millis(1);
+    let later = now + 2 * members::PEER_TIMEOUT + time::Duration::from_millis(1);
     assert!(table.has_ended(&of("2"), later), "it is lost");
 }
--- a/tests/serving_views.rs
+++ b/tests/serving_views.rs
@@ -51,23 +51,23 @@
 fn an_entry_that_expired_while_the_store_was_away_is_gone_only_after_a_while() {
     let clock = sync::Arc::new(TestClock::default());
     let model = fleet_model::FleetModel::new(clock.clone());
-    model.take(FleetUpdate::Reachable(true));
-    model.take(FleetUpdate::Endpoints(
+    model.apply(FleetUpdate::Reachable(true));
+    model.apply(FleetUpdate::Endpoints(
         1,
         vec![entry("a", "z"), entry("b", "z"), entry("c", "z")],
     ));
-    let removed = |id: &str| directory::ListChange::Removed(id.parse().expect("a name"));
+    let removed = |id: &str| directory::EndpointChange::Removed(id.parse().expect("a name"));
     // While the store is well, a removal counts at once.
-    model.take(FleetUpdate::EndpointChanges(2, vec![removed("c")]));
+    model.apply(FleetUpdate::EndpointChanges(2, vec![removed("c")]));
     assert_eq!(count(&model), 2);
-    model.take(FleetUpdate::Reachable(false));
+    model.apply(FleetUpdate::Reachable(false));
     clock.pass(time::Duration::from_secs(5));
-    model.take(FleetUpdate::Reachable(true));
-    model.take(FleetUpdate::Endpoints(3, Vec::new()));
+    model.apply(FleetUpdate::Reachable(true));
+    model.apply(FleetUpdate::Endpoints(3, Vec::new()));
     assert_eq!(count(&model), 2, "both expired, and may come back");
-    model.take(FleetUpdate::EndpointChanges(
+    model.apply(FleetUpdate::EndpointChanges(
         4,
-        vec![directory::ListChange::Listed(entry("a", "z"))],
+        vec![directory::EndpointChange::Listed(entry("a", "z"))],
     ));
     clock.pass(time::Duration::from_millis(2400));
     model.expire();
@@ -76,7 +76,7 @@
     model.expire();
     assert_eq!(count(&model), 1, "the one that came back stays");
     clock.pass(time::Duration::from_secs(2));
-    model.take(FleetUpdate::EndpointChanges(5, vec![removed("a")]));
+    model.apply(FleetUpdate::EndpointChanges(5, vec![removed("a")]));
     assert_eq!(count(&model), 0);
 }
 
@@ -88,11 +88,11 @@
         ..Default::default()
     };
     for (version, expected) in [(4, 4), (2, 4), (9, 9), (9, 9)] {
-        model.take(FleetUpdate::State(state(version)));
+        model.apply(FleetUpdate::State(state(version)));
         assert_eq!(model.table().version(), route_table::StateVersion(expected));
     }
-    model.take(FleetUpdate::Endpoints(7, vec![entry("a", "z")]));
-    model.take(FleetUpdate::Endpoints(6, Vec::new()));
+    model.apply(FleetUpdate::Endpoints(7, vec![entry("a", "z")]));
+    model.apply(FleetUpdate::Endpoints(6, Vec::new()));
     assert_eq!(count(&model), 1, "an older list is not taken");
 }
 
@@ -100,17 +100,17 @@
 /// follows the store: it takes a newer list that differs.
 fn tell(from: &fleet_model::FleetModel, to: &fleet_model::FleetModel) {
     if from.digest() != to.digest() && from.revision() > to.revision() {
-        let copy = from.copy();
-        to.take(FleetUpdate::PeerEndpoints(copy));
+        let copy = from.snapshot();
+        to.apply(FleetUpdate::PeerEndpoints(copy));
     }
 }
 
 /// A model over a clock, that follows the store or learns from peers.
 fn model(clock: &sync::Arc<TestClock>, follows: bool) -> fleet_model::FleetModel {
     let model = fleet_model::FleetModel::new(clock.clone());
-    model.set_follows(follows);
+    model.set_follows_store(follows);
     if follows {
-        model.take(FleetUpdate::Reachable(true));
+        model.apply(FleetUpdate::Reachable(true));
     }
     model
 }
@@ -135,20 +135,20 @@
     let [early, late, gateway] = [true, true, false].map(|follows| model(&clock, follows));
     let both = || vec![entry("a", "z"), entry("b", "z")];
     for follower in [&early, &late] {
-        follower.take(FleetUpdate::Endpoints(8, both()));
+        follower.apply(FleetUpdate::Endpoints(8, both()));
     }
     tell(&early, &gateway);
-    let listed = |entry| vec![directory::ListChange::Listed(entry)];
+    let listed = |entry| vec![directory::EndpointChange::Listed(entry)];
     for follower in [&early, &late] {
-        follower.take(FleetUpdate::EndpointChanges(10, listed(entry("c", "z"))));
+        follower.apply(FleetUpdate::EndpointChanges(10, listed(entry("c", "z"))));
     }
-    early.take(FleetUpdate::EndpointChanges(12, listed(leaving("a"))));
-    let [newer, older] = [&early, &late].map(fleet_model::FleetModel::copy);
+    early.apply(FleetUpdate::EndpointChanges(12, listed(leaving("a"))));
+    let [newer, older] = [&early, &late].map(fleet_model::FleetModel::snapshot);
     for copy in [newer, older] {
-        gateway.take(FleetUpdate::PeerEndpoints(copy));
+        gateway.apply(FleetUpdate::PeerEndpoints(copy));
     }
     assert_eq!(count(&gateway), 2, "the one that leaves gets no new work");
-    late.take(FleetUpdate::EndpointChanges(12, listed(leaving("a"))));
+    late.apply(FleetUpdate::EndpointChanges(12, listed(leaving("a"))));
     for follower in [&early, &late] {
         tell(follower, &gateway);
         assert_eq!(gateway.digest(), follower.digest());
@@ -163,14 +163,14 @@
 fn older_changes_undo_no_leave() {
     let clock = sync::Arc::default();
     let [follower, peer] = [true, true].map(|follows| model(&clock, follows));
-    follower.take(FleetUpdate::Endpoints(8, vec![entry("a", "z")]));
-    peer.take(FleetUpdate::Endpoints(12, vec![leaving("a")]));
+    follower.apply(FleetUpdate::Endpoints(8, vec![entry("a", "z")]));
+    peer.apply(FleetUpdate::Endpoints(12, vec![leaving("a")]));
     tell(&peer, &follower);
-    let old = vec![directory::ListChange::Listed(entry("a", "z"))];
-    follower.take(FleetUpdate::EndpointChanges(10, old));
+    let old = vec![directory::EndpointChange::Listed(entry("a", "z"))];
+    follower.apply(FleetUpdate::EndpointChanges(10, old));
     assert_eq!(count(&follower), 0);
-    let back = vec![directory::ListChange::Listed(entry("b", "z"))];
-    follower.take(FleetUpdate::EndpointChanges(13, back));
+    let back = vec![directory::EndpointChange::Listed(entry("b", "z"))];
+    follower.apply(FleetUpdate::EndpointChanges(13, back));
     assert_eq!(count(&follower), 1, "newer changes are taken");
 }
 
@@ -183,16 +183,16 @@
 fn an_entry_that_expired_is_gone_at_processes_that_learn_from_peers() {
     let clock = sync::Arc::new(TestClock::default());
     let [follower, gateway] = [true, false].map(|follows| model(&clock, follows));
-    follower.take(FleetUpdate::Endpoints(
+    follower.apply(FleetUpdate::Endpoints(
         1,
         vec![entry("a", "z"), entry("b", "z")],
     ));
     tell(&follower, &gateway);
-    follower.take(FleetUpdate::Reachable(false));
+    follower.apply(FleetUpdate::Reachable(false));
     clock.pass(time::Duration::from_secs(5));
-    follower.take(FleetUpdate::Reachable(true));
+    follower.apply(FleetUpdate::Reachable(true));
     // One expired, and another one came.
-    follower.take(FleetUpdate::Endpoints(
+    follower.apply(FleetUpdate::Endpoints(
         3,
         vec![entry("b", "z"), entry("c", "z")],
     ));
@@ -211,21 +211,21 @@
 fn entries_that_expired_may_come_back_after_each_return_of_the_store() {
     let clock = sync::Arc::default();
     let model = model(&clock, true);
-    model.take(FleetUpdate::Endpoints(1, vec![entry("a", "z")]));
+    model.apply(FleetUpdate::Endpoints(1, vec![entry("a", "z")]));
     for (revision, absence) in [(2, 5), (3, 5)] {
-        model.take(FleetUpdate::Reachable(false));
+        model.apply(FleetUpdate::Reachable(false));
         clock.pass(time::Duration::from_secs(absence));
         model.expire();
-        model.take(FleetUpdate::Reachable(true));
-        model.take(FleetUpdate::Endpoints(revision, Vec::new()));
+        model.apply(FleetUpdate::Reachable(true));
+        model.apply(FleetUpdate::Endpoints(revision, Vec::new()));
         clock.pass(time::Duration::from_millis(2400));
         model.expire();
         assert_eq!(count(&model), 1, "it may come back");
     }
     // A call that fails by itself is no absence.
-    model.take(FleetUpdate::Reachable(false));
+    model.apply(FleetUpdate::Reachable(false));
     clock.pass(time::Duration::from_millis(200));
-    model.take(FleetUpdate::Reachable(true));
+    model.apply(FleetUpdate::Reachable(true));
     model.expire();
     assert_eq!(count(&model), 0);
 }
@@ -243,17 +243,17 @@
     let [dispatcher, behind, gateway] = [true, true, false].map(|follows| model(&clock, follows));
     let both = || vec![entry("a", "z"), entry("b", "z")];
     for follower in [&dispatcher, &behind] {
-        follower.take(FleetUpdate::Endpoints(1, both()));
+        follower.apply(FleetUpdate::Endpoints(1, both()));
     }
     tell(&dispatcher, &gateway);
-    behind.take(FleetUpdate::Reachable(false));
+    behind.apply(FleetUpdate::Reachable(false));
     clock.pass(time::Duration::from_secs(5));
-    dispatcher.take(FleetUpdate::Reachable(true));
-    dispatcher.take(FleetUpdate::Endpoints(2, vec![entry("b", "z")]));
+    dispatcher.apply(FleetUpdate::Reachable(true));
+    dispatcher.apply(FleetUpdate::Endpoints(2, vec![entry("b", "z")]));
     tell(&dispatcher, &gateway);
     assert_eq!(count(&gateway), 1);
-    behind.take(FleetUpdate::Reachable(true));
-    behind.take(FleetUpdate::Endpoints(3, vec![entry("b", "z")]));
+    behind.apply(FleetUpdate::Reachable(true));
+    behind.apply(FleetUpdate::Endpoints(3, vec![entry("b", "z")]));
     tell(&behind, &gateway);
     assert_eq!(count(&gateway), 1, "it had removed the entry for good");
 }
@@ -264,15 +264,15 @@
 fn who_has_no_list_takes_what_a_peer_keeps() {
     let clock = sync::Arc::new(TestClock::default());
     let [behind, started, late] = [true, false, false].map(|follows| model(&clock, follows));
-    behind.take(FleetUpdate::Endpoints(
+    behind.apply(FleetUpdate::Endpoints(
         1,
         vec![entry("a", "z"), entry("b", "z")],
     ));
     tell(&behind, &late);
-    behind.take(FleetUpdate::Reachable(false));
+    behind.apply(FleetUpdate::Reachable(false));
     clock.pass(time::Duration::from_secs(5));
-    behind.take(FleetUpdate::Reachable(true));
-    behind.take(FleetUpdate::Endpoints(2, Vec::new()));
+    behind.apply(FleetUpdate::Reachable(true));
+    behind.apply(FleetUpdate::Endpoints(2, Vec::new()));
     for gateway in [&started, &late] {
         tell(&behind, gateway);
         assert_eq!(count(gateway), 2, "both may come back");
@@ -292,14 +292,14 @@
 fn a_call_that_failed_by_itself_holds_no_removal_back() {
     let clock = sync::Arc::default();
     let model = model(&clock, true);
-    model.take(FleetUpdate::Endpoints(1, vec![entry("a", "z")]));
+    model.apply(FleetUpdate::Endpoints(1, vec![entry("a", "z")]));
     clock.pass(time::Duration::from_secs(5));
-    model.take(FleetUpdate::Reachable(true));
+    model.apply(FleetUpdate::Reachable(true));
     clock.pass(time::Duration::from_millis(600));
-    model.take(FleetUpdate::Reachable(false));
+    model.apply(FleetUpdate::Reachable(false));
     clock.pass(time::Duration::from_millis(200));
-    model.take(FleetUpdate::Reachable(true));
-    model.take(FleetUpdate::Endpoints(2, Vec::new()));
+    model.apply(FleetUpdate::Reachable(true));
+    model.apply(FleetUpdate::Endpoints(2, Vec::new()));
     assert_eq!(count(&model), 0, "no endpoint expires within a second");
 }
 
@@ -381,17 +381,18 @@
 #[test]
 fn probes_a_second_are_bounded_whatever_the_number_of_peers() {
     for peers in 1..400 {
-        let pause = members::PROBE_INTERVAL.as_secs_f64() * members::pace_stretch(peers).ceil();
+        let pause =
+            members::PROBE_INTERVAL.as_secs_f64() * members::probe_interval_factor(peers).ceil();
         let rate = peers as f64 / pause;
         assert!(rate <= 64.0, "{rate} probes a second of {peers} peers");
-        let silence = members::PEER_SILENCE.as_secs_f64() * members::pace_stretch(peers);
+        let silence = members::PEER_TIMEOUT.as_secs_f64() * members::probe_interval_factor(peers);
         assert!(
             silence > 1.5 * pause,
             "{peers} peers: lost after {silence} s, probed each {pause} s"
         );
     }
     assert_eq!(
-        members::pace_stretch(13),
+        members::probe_interval_factor(13),
         1.0,
         "small fleets keep their pace"
     );
@@ -402,7 +403,7 @@
     let mut directory = directory::EndpointDirectory::default();
     let apply = |directory: &mut directory::EndpointDirectory, entries: Vec<_>| {
         let changes = directory.changes_to(entries);
-        directory.apply(changes, directory::ChangeTerms::default());
+        directory.apply(changes, directory::ChangeTiming::default());
         directory.digest()
     };
     let one = apply(&mut directory, vec![entry("a", "z")]);
@@ -435,9 +436,9 @@
         address: net::SocketAddr::from(([127, 0, 0, 1], 1)),
     };
     let mut table = members::MemberTable::default();
-    table.take(record("b"));
+    table.upsert(record("b"));
     let mut other = members::MemberTable::default();
-    other.take(record("a"));
+    other.upsert(record("a"));
     assert_eq!(table.digest(&record("a")), other.digest(&record("b")));
     table.remove(&"b".parse().expect("a name"));
     assert_ne!(table.digest(&record("a")), other.digest(&record("b")));
--- a/tests/state_snapshot.rs
+++ b/tests/state_snapshot.rs
@@ -41,7 +41,7 @@
 
 fn version(outcome: &PartOutcome) -> Option<u64> {
     match outcome {
-        PartOutcome::Whole(state) => Some(state.version.0),
+        PartOutcome::Complete(state) => Some(state.version.0),
         _ => None,
     }
 }
@@ -54,7 +54,7 @@
     for count in 1..1000 {
         match incoming.add(tell(incoming.next_request())) {
             PartOutcome::Added => {}
-            PartOutcome::Whole(state) => return (state, count),
+            PartOutcome::Complete(state) => return (state, count),
             other => panic!("part {count}: {other:?}"),
         }
     }
@@ -65,8 +65,8 @@
 #[case::small(3, 1)]
 #[case::large(4000, 30)]
 fn a_state_arrives_whole_in_few_parts(#[case] routes: usize, #[case] most: usize) {
-    let (shelf, newest) = (SnapshotCache::default(), state(7, routes));
-    let tell = |request| shelf.part(request, &newest).expect("it can be encoded");
+    let (cache, newest) = (SnapshotCache::default(), state(7, routes));
+    let tell = |request| cache.part(request, &newest).expect("it can be encoded");
     let (arrived, parts) = transfer(&mut IncomingSnapshot::default(), tell);
     assert_eq!(arrived.version, newest.version);
     assert_eq!(arrived.routes.len(), routes);
@@ -76,12 +76,12 @@
 
 #[test]
 fn a_transfer_ends_with_the_copy_that_it_began_with() {
-    let shelf = SnapshotCache::default();
+    let cache = SnapshotCache::default();
     let mut incoming = IncomingSnapshot::default();
     let mut number = 7;
     let tell = |request| {
         number += 1;
-        shelf
+        cache
             .part(request, &state(number, 2000))
             .expect("it can be encoded")
     };
@@ -95,22 +95,20 @@
 
 #[test]
 fn a_transfer_goes_on_at_another_peer() {
-    let shelves = [SnapshotCache::default(), SnapshotCache::default()];
+    let caches = [SnapshotCache::default(), SnapshotCache::default()];
     let newest = state(7, 2000);
     let whole = transfer(&mut IncomingSnapshot::default(), |request| {
-        shelves[0]
-            .part(request, &newest)
-            .expect("it can be encoded")
+        caches[0].part(request, &newest).expect("it can be encoded")
     });
     // The second peer encodes the copy itself, when it is first asked.
-    shelves[1]
+    caches[1]
         .part(StatePartRequest::First, &newest)
         .expect("it can be encoded");
     let mut turn = 0;
     let (arrived, parts) = transfer(&mut IncomingSnapshot::default(), |request| {
         turn += 1;
-        let shelf = &shelves[turn % 2];
-        shelf.part(request, &newest).expect("it can be encoded")
+        let cache = &caches[turn % 2];
+        cache.part(request, &newest).expect("it can be encoded")
     });
     assert_eq!(arrived.version, newest.version);
     assert_eq!(parts, whole.1, "no part is told twice");
@@ -118,25 +116,25 @@
 
 #[test]
 fn parts_of_another_copy_or_place_add_nothing() {
-    let shelf = SnapshotCache::default();
+    let cache = SnapshotCache::default();
     let newest = state(7, 2000);
-    let first = shelf
+    let first = cache
         .part(StatePartRequest::First, &newest)
         .expect("a part");
-    let second = shelf
+    let second = cache
         .part(StatePartRequest::Next(first.copy, PART_BYTES), &newest)
         .expect("a part");
-    let other = shelf.part(StatePartRequest::First, &state(8, 2000));
+    let other = cache.part(StatePartRequest::First, &state(8, 2000));
     let other = other.expect("a part");
     let mut incoming = IncomingSnapshot::default();
     assert!(matches!(incoming.add(first.clone()), PartOutcome::Added));
     for unfit in [first.clone(), other, third_of(&second)] {
-        assert!(matches!(incoming.add(unfit), PartOutcome::Unfit(_)));
+        assert!(matches!(incoming.add(unfit), PartOutcome::Mismatched(_)));
     }
     let request = StatePartRequest::Next(first.copy, PART_BYTES);
     assert_eq!(incoming.next_request(), request, "it goes on where it was");
     let (arrived, _) = transfer(&mut incoming, |request| {
-        shelf.part(request, &newest).expect("a part")
+        cache.part(request, &newest).expect("a part")
     });
     assert_eq!(arrived.version.0, 7);
 }
@@ -151,9 +149,9 @@
 
 #[test]
 fn a_damaged_state_is_refused_and_the_next_one_taken() {
-    let shelf = SnapshotCache::default();
+    let cache = SnapshotCache::default();
     let newest = state(7, 3);
-    let part = shelf
+    let part = cache
         .part(StatePartRequest::First, &newest)
         .expect("a part");
     // Some of these still inflate to a state, but to another one.
@@ -166,7 +164,7 @@
     huge.copy.total = usize::MAX;
     let mut incoming = IncomingSnapshot::default();
     for bad in damaged.chain([huge]) {
-        assert!(matches!(incoming.add(bad), PartOutcome::Refused(_)));
+        assert!(matches!(incoming.add(bad), PartOutcome::Invalid(_)));
         assert_eq!(incoming.next_request(), StatePartRequest::First);
     }
     assert_eq!(version(&incoming.add(part)), Some(7));
