--- a/src/serving/fleet_model.rs
+++ b/src/serving/fleet_model.rs
@@ -227,7 +227,7 @@
         &self,
         list_revision: u64,
         entries: Vec<directory::EndpointEntry>,
-        terms: directory::ChangeTiming,
+        timing: directory::ChangeTiming,
     ) {
         let directory = self.directory.borrow();
         let is_first = directory.is_empty();
@@ -237,11 +237,11 @@
             let count = changes.len();
             let revision = list_revision / LISTS_PER_REVISION;
             log::info!("event=endpoints_listed revision={revision} count={count}");
-            self.directory.borrow_mut().apply(changes, terms);
+            self.directory.borrow_mut().apply(changes, timing);
             self.advance_revision(list_revision);
             return;
         }
-        self.apply_changes(list_revision, changes, terms);
+        self.apply_changes(list_revision, changes, timing);
     }
 
     /// Applies changes that lead to the list of the given revision.
@@ -249,13 +249,13 @@
         &self,
         list_revision: u64,
         changes: Vec<directory::EndpointChange>,
-        terms: directory::ChangeTiming,
+        timing: directory::ChangeTiming,
     ) {
         let revision = list_revision / LISTS_PER_REVISION;
         for change in &changes {
             log::info!("event=endpoint_changed revision={revision} {change}");
         }
-        self.directory.borrow_mut().apply(changes, terms);
+        self.directory.borrow_mut().apply(changes, timing);
         self.advance_revision(list_revision);
     }
 
--- a/src/serving/fleet_source.rs
+++ b/src/serving/fleet_source.rs
@@ -1,4 +1,4 @@
-//! The border to where the desired state, the endpoints and orders come from.
+//! Interface to the source of the desired state, the endpoints and the retirements.
 
 use std::rc;
 
@@ -7,30 +7,30 @@
 use super::{directory, fleet_model, route_table};
 use crate::ids;
 
-/// News from the source.
+/// Update from the source or a peer.
 #[derive(Debug, Clone)]
 pub enum FleetUpdate {
     /// The desired state.
     State(route_table::DesiredState),
     /// All endpoints at a revision of the store.
     Endpoints(u64, Vec<directory::EndpointEntry>),
-    /// All endpoints as a peer knows them.
+    /// All endpoints known to a peer.
     PeerEndpoints(directory::DirectorySnapshot),
     /// Changes of the endpoints up to a revision of the store.
     EndpointChanges(u64, Vec<directory::EndpointChange>),
-    /// The source answers, or does not.
+    /// Whether the source responds.
     Reachable(bool),
-    /// The source answered a reading beside the watches.
+    /// The source responded to a read other than a watch.
     Responded,
-    /// The source answers again after a call of it failed.
+    /// The source responds again after a failed call.
     Recovered,
-    /// An object could not be read; it names nothing to use.
+    /// An object of the store could not be read and is ignored.
     Unreadable,
-    /// An instance is to be emptied.
+    /// An instance is to be drained.
     Retire(ids::InstanceId),
 }
 
-/// What is to be read anew.
+/// Kind of state to read again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RefreshKind {
     /// The desired state.
@@ -39,18 +39,18 @@
     Endpoints,
 }
 
-/// Where the desired state, the endpoints and orders to instances come from.
+/// Source of the desired state, the endpoints and the retirements of instances.
 pub trait FleetSource {
-    /// Brings news until the process ends.
+    /// Delivers updates to the model until the process ends.
     fn run(&self, model: rc::Rc<fleet_model::FleetModel>) -> future::LocalBoxFuture<'static, ()>;
 
-    /// Reads views anew, in case a watch missed something.
+    /// Reads state again, in case a watch missed a change.
     fn refresh(
         &self,
         what: RefreshKind,
         model: rc::Rc<fleet_model::FleetModel>,
     ) -> future::LocalBoxFuture<'static, ()>;
 
-    /// Reports that an instance holds nothing that is needed.
+    /// Reports that an instance holds nothing that is still needed.
     fn report_emptied(&self, id: ids::InstanceId) -> future::LocalBoxFuture<'static, bool>;
 }
--- a/src/serving/peer_calls.rs
+++ b/src/serving/peer_calls.rs
@@ -1,4 +1,4 @@
-//! Answers the calls of peers.
+//! Handles the calls of peers.
 
 use std::rc;
 
@@ -10,7 +10,7 @@
 };
 use crate::{decisions::admission, ids, store};
 
-/// Answers the calls of peers.
+/// Handles the calls of peers.
 pub(super) async fn serve_peers(
     context: rc::Rc<context::ProcessContext>,
     mut calls: mpsc::Receiver<peers::PeerCall>,
@@ -20,7 +20,7 @@
     }
 }
 
-/// Gives an answer to a caller that may have gone.
+/// Sends a response to a caller that may have disconnected.
 fn reply<T>(sender: tokio::sync::oneshot::Sender<T>, value: T) {
     if sender.send(value).is_err() {
         log::debug!("event=peer_left_before_answer");
@@ -136,7 +136,7 @@
     }
 }
 
-/// What a write to the store came to, for a peer.
+/// Converts the result of a write to the store for a peer.
 fn write_outcome(written: &store::StoreResult<()>) -> peers::WriteOutcome {
     match written {
         Ok(()) => peers::WriteOutcome::Written,
@@ -147,7 +147,7 @@
     }
 }
 
-/// Lends places of batch streams at owned endpoints.
+/// Lends batch slots at owned endpoints.
 fn lend(
     context: &context::ProcessContext,
     request: &peers::BatchSlotRequest,
@@ -164,7 +164,7 @@
     slots.collect()
 }
 
-/// Gives a place at an owned endpoint, and takes batch streams back for it.
+/// Grants a slot at an owned endpoint, preempting batch streams if necessary.
 pub fn grant(
     context: &rc::Rc<context::ProcessContext>,
     request: &peers::OnlineSlotRequest,
@@ -200,7 +200,7 @@
     }
 }
 
-/// Takes a batch stream back, of this process or of the peer that runs it.
+/// Preempts a batch stream that runs here or at the borrower of the slot.
 fn preempt(
     context: &context::ProcessContext,
     endpoint: &ids::EndpointId,
@@ -220,7 +220,8 @@
     }
 }
 
-/// Takes a place back; batch work may use it.
+/// Releases a slot, which batch work may then use. A release of a relayed permit is
+/// forwarded to the owner.
 pub fn release(context: &context::ProcessContext, ended: peers::SlotRelease) {
     let mut permits = context.permits.borrow_mut();
     let released = match ended.is_served {
@@ -242,7 +243,7 @@
     }
 }
 
-/// Takes what a holder of a place saw at an endpoint.
+/// Applies an observation that the holder of a slot reported.
 pub fn apply_report(context: &context::ProcessContext, report: &peers::EndpointReport) {
     let peers::EndpointReport {
         endpoint,
--- a/src/serving/peer_links.rs
+++ b/src/serving/peer_links.rs
@@ -1,4 +1,4 @@
-//! The side of a link that asks.
+//! Client side of the links between processes.
 
 use std::{cell, collections, convert, io, net, rc, time};
 
@@ -16,22 +16,22 @@
 };
 use crate::{clock, decisions::crash_ledger, ids};
 
-/// Longest wait for a connection to a peer.
+/// Timeout of connecting to a peer.
 const CONNECT_TIMEOUT: time::Duration = time::Duration::from_millis(300);
 
-/// How long nothing may come on a link before a probe without an answer ends it:
-/// as long as a probe waits. A link that is busy with a large answer brings its
-/// bytes meanwhile, and a new one would have to begin anew.
+/// Time without received bytes after which a probe timeout closes the link; it equals the
+/// probe timeout. A link that is busy with a large response receives bytes meanwhile, and
+/// a new link would have to start the transfer again.
 const LINK_IDLE_TIMEOUT: time::Duration = time::Duration::from_millis(400);
 
-/// Longest wait for a list of endpoints that comes on, a guard against one that
-/// never ends: 1,600 endpoints, 87 KB, take 4.4 s at 20 KB/s.
+/// Timeout of a list transfer that makes progress, as a bound for one that never ends:
+/// 1,600 endpoints, 87 KB, take 4.4 s at 20 KB/s.
 const LIST_TIMEOUT: time::Duration = time::Duration::from_secs(5);
 
-/// Pause after a failed connection.
+/// Delay after a failed connection.
 pub(super) const RECONNECT_DELAY: time::Duration = time::Duration::from_millis(200);
 
-/// Largest message, in bytes: a job or its results with some spare.
+/// Maximum size of a message in bytes: a job or its results with some reserve.
 const MAX_FRAME_BYTES: usize = 8 << 20;
 
 pub(super) fn frames() -> length_delimited::Builder {
@@ -40,17 +40,18 @@
     builder
 }
 
-/// Tells the links to one peer apart, as an old one may end beside a new one.
+/// Distinguishes successive links to one peer, because an old one may end after its
+/// successor was opened.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct LinkGeneration(u64);
 
-/// A connection that is open.
+/// Open connection to a peer.
 struct OpenLink {
     generation: LinkGeneration,
     client: PeerServiceClient,
-    /// When bytes came on it last; at first when it was made.
+    /// When bytes were last received; initially the time of connecting.
     last_received_at: rc::Rc<cell::Cell<clock::BootInstant>>,
-    /// Dropped with the link: the end of this channel ends its task.
+    /// Closes the link's task when the link is dropped.
     _closing: oneshot::Sender<convert::Infallible>,
 }
 
@@ -76,31 +77,31 @@
 
 type LinkTable = rc::Rc<cell::RefCell<collections::HashMap<net::SocketAddr, LinkState>>>;
 
-/// Connections to peers, made when first needed.
+/// Connections to peers, opened on first use.
 #[derive(Clone, Default)]
 pub struct PeerLinks {
     table: LinkTable,
-    /// The generation of the latest link.
+    /// Generation of the latest link.
     latest: rc::Rc<cell::Cell<u64>>,
-    /// Told when a connection was made or failed.
+    /// Notified when a connection attempt succeeds or fails.
     connect_finished: rc::Rc<tokio::sync::Notify>,
 }
 
-/// Why a peer gave no answer.
+/// Error of a call to a peer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum PeerError {
-    /// There is no connection now, so nothing was sent.
+    /// There is no connection, so nothing was sent.
     #[error("there is no connection to the peer")]
     NotSent,
-    /// The connection was lost before the answer.
+    /// The connection was lost before the response.
     #[error("the peer cannot be reached")]
     Unreachable,
-    /// The peer did not answer in time.
-    #[error("the peer did not answer in time")]
+    /// The peer did not respond in time.
+    #[error("the peer did not respond in time")]
     TimedOut,
 }
 
-/// Deadline of a call, from now.
+/// Returns a call context with a deadline.
 fn deadline_in(timeout: time::Duration) -> tarpc::context::Context {
     let mut context = tarpc::context::current();
     context.deadline = time::Instant::now() + timeout;
@@ -115,7 +116,7 @@
     }
 }
 
-/// Calls a peer, and says why there is no answer.
+/// Calls a peer and returns its response or the error.
 macro_rules! call_peer {
     ($links:expr, $peer:expr, $timeout:expr, $method:ident($($argument:expr),*)) => {{
         let client = $links.connected($peer).ok_or(PeerError::NotSent)?;
@@ -123,7 +124,8 @@
     }};
 }
 
-/// Tells a peer something that has no answer; what is lost is made up for otherwise.
+/// Sends a peer a message without a response. Lost messages are made up for by other
+/// means, such as a timeout or a later read.
 macro_rules! notify_peer {
     ($links:expr, $peer:expr, $method:ident($argument:expr)) => {{
         let Some(client) = $links.connected($peer) else {
@@ -141,10 +143,11 @@
     }};
 }
 
-/// Tells a peer something until it has heard it, or a permit would have expired.
+/// Sends a peer a message repeatedly until it is delivered or a permit would have
+/// expired.
 ///
-/// Said twice it does no harm. A place that is held for nobody is missed by callers for
-/// as long as a permit lives: sixteen of them fill a service of two endpoints.
+/// The messages are idempotent. A slot whose release is lost stays unavailable for the
+/// TTL of a permit: sixteen of them fill a service of two endpoints.
 macro_rules! notify_with_retry {
     ($links:expr, $peer:expr, $method:ident($argument:expr)) => {{
         let links = $links.clone();
@@ -176,7 +179,7 @@
     /// Exchanges heartbeats.
     ///
     /// # Errors
-    /// The peer does not answer.
+    /// The peer does not respond.
     pub async fn probe(
         &self,
         peer: net::SocketAddr,
@@ -186,10 +189,11 @@
         call_peer!(self, peer, timeout, probe(heartbeat))
     }
 
-    /// Draws tokens of a workspace from a keeper, or through a gateway that reaches it.
+    /// Requests tokens of a workspace from a quota server, or from a gateway that can
+    /// reach it.
     ///
     /// # Errors
-    /// The peer does not answer.
+    /// The peer does not respond.
     pub async fn draw_tokens(
         &self,
         peer: net::SocketAddr,
@@ -199,10 +203,10 @@
         call_peer!(self, peer, timeout, draw_tokens(request))
     }
 
-    /// Asks an owner for a place.
+    /// Requests a slot from an owner.
     ///
     /// # Errors
-    /// The peer does not answer.
+    /// The peer does not respond.
     pub async fn acquire(
         &self,
         peer: net::SocketAddr,
@@ -212,27 +216,27 @@
         call_peer!(self, peer, timeout, acquire(request))
     }
 
-    /// Gives a place back, also where its owner is out of reach for a while: the place is
-    /// held until it hears of it, or until the permit expires.
+    /// Releases a slot, retrying while its owner is unreachable: the owner holds the slot
+    /// until the release arrives or the permit expires.
     pub fn release(&self, peer: net::SocketAddr, release: SlotRelease) {
         notify_with_retry!(self, peer, release(release));
     }
 
-    /// Tells an owner of a failure at one of its endpoints.
+    /// Reports an observation of an endpoint to its owner.
     pub fn report(&self, peer: net::SocketAddr, report: EndpointReport) {
         notify_peer!(self, peer, report(report));
     }
 
-    /// Tells an owner of a request under which an endpoint ended, or that was served since.
+    /// Reports a request during which an endpoint crashed, or that was served since.
     pub fn crash_news(&self, peer: net::SocketAddr, update: crash_ledger::CrashUpdate) {
         notify_peer!(self, peer, crash_news(update));
     }
 
-    /// Asks for all that a peer knows of such requests: up to 200 KB, which is waited for
-    /// as long as it comes on.
+    /// Requests all records about such requests: up to 200 KB, for which the call waits
+    /// as long as bytes arrive.
     ///
     /// # Errors
-    /// The peer does not answer.
+    /// The peer does not respond.
     pub async fn crashes(
         &self,
         peer: net::SocketAddr,
@@ -245,10 +249,10 @@
         }
     }
 
-    /// Asks for a part of the desired state.
+    /// Requests a part of the desired state.
     ///
     /// # Errors
-    /// The peer does not answer, or knows no desired state.
+    /// The peer does not respond, or has no desired state.
     pub async fn state_part(
         &self,
         peer: net::SocketAddr,
@@ -258,11 +262,11 @@
         call_peer!(self, peer, timeout, state_part(request))
     }
 
-    /// Asks for the list of endpoints, and waits as long as something comes on the
-    /// link: the list may be as large as the link is busy.
+    /// Requests the list of endpoints, and waits as long as bytes arrive on the link: the
+    /// list may be large, or the link busy.
     ///
     /// # Errors
-    /// The peer does not answer.
+    /// The peer does not respond.
     pub async fn endpoints(
         &self,
         peer: net::SocketAddr,
@@ -275,10 +279,10 @@
         }
     }
 
-    /// Asks for the processes that a peer knows.
+    /// Requests the member records of a peer.
     ///
     /// # Errors
-    /// The peer does not answer.
+    /// The peer does not respond.
     pub async fn members(
         &self,
         peer: net::SocketAddr,
@@ -287,10 +291,10 @@
         call_peer!(self, peer, timeout, members())
     }
 
-    /// Hands a job over; says whether it is done already.
+    /// Hands off a job; returns whether it has already completed.
     ///
     /// # Errors
-    /// The peer does not answer.
+    /// The peer does not respond.
     pub async fn take_job(
         &self,
         peer: net::SocketAddr,
@@ -300,11 +304,11 @@
         call_peer!(self, peer, timeout, take_job(record))
     }
 
-    /// Has an owner read a job from the store and take it over; says whether it is done
-    /// already.
+    /// Requests that an owner reads a job from the store and takes it over; returns
+    /// whether it has already completed.
     ///
     /// # Errors
-    /// The peer does not answer.
+    /// The peer does not respond.
     pub async fn find_job(
         &self,
         peer: net::SocketAddr,
@@ -314,10 +318,11 @@
         call_peer!(self, peer, timeout, find_job(job))
     }
 
-    /// Hands a part of the progress of a job over; says whether it fits to what came before.
+    /// Sends a part of the progress of a job; returns whether it continues the previous
+    /// parts.
     ///
     /// # Errors
-    /// The peer does not answer.
+    /// The peer does not respond.
     pub async fn keep_progress(
         &self,
         peer: net::SocketAddr,
@@ -330,7 +335,7 @@
     /// Reads committed results.
     ///
     /// # Errors
-    /// The peer does not answer.
+    /// The peer does not respond.
     pub async fn read_results(
         &self,
         peer: net::SocketAddr,
@@ -340,15 +345,15 @@
         call_peer!(self, peer, timeout, read_results(request))
     }
 
-    /// Tells that a job was ended; the mark in the store says the same.
+    /// Notifies a peer that a job was ended; the store records the end as well.
     pub fn end_job(&self, peer: net::SocketAddr, job: ids::JobId) {
         notify_peer!(self, peer, end_job(job));
     }
 
-    /// Asks an owner for places for batch streams.
+    /// Requests batch slots from an owner.
     ///
     /// # Errors
-    /// The peer does not answer.
+    /// The peer does not respond.
     pub async fn lend(
         &self,
         peer: net::SocketAddr,
@@ -358,25 +363,25 @@
         call_peer!(self, peer, timeout, lend(request))
     }
 
-    /// Gives a place of a batch stream back, also where its owner is out of reach for a while.
+    /// Returns a borrowed batch slot, retrying while its owner is unreachable.
     pub fn give_back(&self, peer: net::SocketAddr, slot: BorrowedSlot) {
         notify_with_retry!(self, peer, give_back(slot));
     }
 
-    /// Gives back what may have been lent to a question whose answer did not come.
+    /// Returns the slots that may have been lent for a request whose response was lost.
     pub fn cancel_lent(&self, peer: net::SocketAddr, number: u64) {
         notify_with_retry!(self, peer, cancel_lent(number));
     }
 
-    /// Takes a place of a batch stream back.
+    /// Preempts a batch stream.
     pub fn preempt(&self, peer: net::SocketAddr, slot: BorrowedSlot) {
         notify_peer!(self, peer, preempt(slot));
     }
 
-    /// Has a peer write an accepted job.
+    /// Requests that a peer writes an accepted job.
     ///
     /// # Errors
-    /// The peer does not answer: it may write the job yet, unless it was never reached.
+    /// The peer does not respond. It may still write the job, unless nothing was sent.
     pub async fn write_job(
         &self,
         peer: net::SocketAddr,
@@ -386,10 +391,10 @@
         call_peer!(self, peer, timeout, write_job(record))
     }
 
-    /// Has a peer write the end of a job.
+    /// Requests that a peer writes the end of a job.
     ///
     /// # Errors
-    /// The peer does not answer: it may write the end yet.
+    /// The peer does not respond. It may still write the end.
     pub async fn write_end(
         &self,
         peer: net::SocketAddr,
@@ -399,7 +404,7 @@
         call_peer!(self, peer, timeout, write_end(job))
     }
 
-    /// Whether there is a connection to a peer now.
+    /// Returns whether there is a connection to a peer.
     pub fn is_connected(&self, peer: net::SocketAddr) -> bool {
         matches!(
             self.table.borrow().get(&peer),
@@ -407,7 +412,7 @@
         )
     }
 
-    /// The client of a connected peer; otherwise begins to connect.
+    /// Returns the client of a connected peer; otherwise starts to connect.
     fn connected(&self, peer: net::SocketAddr) -> Option<PeerServiceClient> {
         let mut table = self.table.borrow_mut();
         match table.get(&peer) {
@@ -428,7 +433,8 @@
         LinkGeneration(self.latest.get())
     }
 
-    /// Ends once nothing has come on the link to a peer for so long, from now on.
+    /// Resolves when no bytes have been received from a peer for `limit`, counted from
+    /// now.
     async fn wait_until_idle(&self, peer: net::SocketAddr, limit: time::Duration) {
         let mut last_received = clock::BootInstant::now();
         while last_received.elapsed() < limit {
@@ -439,7 +445,7 @@
         }
     }
 
-    /// Begins to connect to a peer if there is need, and waits for the outcome.
+    /// Connects to a peer if necessary, and waits for the outcome of the attempt.
     pub async fn try_connect(&self, peer: net::SocketAddr) {
         if self.connected(peer).is_some() {
             return;
@@ -453,8 +459,8 @@
         }
     }
 
-    /// Connects to a peer that is about to answer, as it has just started: says
-    /// whether it does within a while.
+    /// Connects to a peer that is just starting, with retries. Returns whether it
+    /// succeeds within the timeout.
     pub async fn connect_within(&self, peer: net::SocketAddr, timeout: time::Duration) -> bool {
         let started_at = clock::BootInstant::now();
         loop {
@@ -466,7 +472,7 @@
         }
     }
 
-    /// Notes what became of a link, unless another has taken its place.
+    /// Records the new state of a link, unless a newer link has replaced it.
     fn record(&self, peer: net::SocketAddr, generation: LinkGeneration, state: LinkState) {
         let mut table = self.table.borrow_mut();
         let known = table.get(&peer).and_then(LinkState::generation);
@@ -478,11 +484,11 @@
         self.connect_finished.notify_waiters();
     }
 
-    /// Ends the connection to a peer that left a probe without an answer, so that
-    /// a new one is made; calls under way on it fail at once.
+    /// Closes the connection to a peer that did not respond to a probe, so that a new one
+    /// is opened; pending calls on it fail at once.
     ///
-    /// A connection on which something else came meanwhile is kept, and so is one
-    /// that was made after the probe went out.
+    /// A connection on which bytes arrived recently is kept, which includes one that was
+    /// opened after the probe was sent.
     pub fn close_if_silent(&self, peer: net::SocketAddr) {
         let mut table = self.table.borrow_mut();
         let Some(LinkState::Connected(link)) = table.get(&peer) else {
@@ -510,7 +516,7 @@
     connected.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
 }
 
-/// Makes a link and carries it, until it is lost or given up.
+/// Opens a link and drives it until it is lost or closed.
 async fn connect(links: PeerLinks, peer: net::SocketAddr, generation: LinkGeneration) {
     let socket = match open(peer).await {
         Ok(socket) => socket,
@@ -525,21 +531,21 @@
         io_util::InspectReader::new(socket, move |_| received_at.set(clock::BootInstant::now()));
     let codec = tarpc::tokio_serde::formats::Bincode::default();
     let transport = tarpc::serde_transport::new(frames().new_framed(socket), codec);
-    let spawned = PeerServiceClient::new(tarpc::client::Config::default(), transport);
+    let new_client = PeerServiceClient::new(tarpc::client::Config::default(), transport);
     let (closing, closed) = oneshot::channel();
     let link = OpenLink {
         generation,
-        client: spawned.client,
+        client: new_client.client,
         last_received_at,
         _closing: closing,
     };
     links.record(peer, generation, LinkState::Connected(link));
     tokio::select! {
-        ended = spawned.dispatch => {
+        ended = new_client.dispatch => {
             log::info!("event=peer_link_lost peer={peer} why=\"{ended:?}\"");
             links.record(peer, generation, LinkState::failed());
         }
-        // Given up; dropping the dispatch closes the socket.
+        // Closed locally; dropping the dispatch closes the socket.
         _ = closed => {}
     }
 }
--- a/src/serving/peer_server.rs
+++ b/src/serving/peer_server.rs
@@ -1,4 +1,4 @@
-//! The side of a link that answers.
+//! Server side of the links between processes.
 
 use std::{io, net};
 
@@ -18,17 +18,18 @@
 };
 use crate::{decisions::crash_ledger, ids};
 
-/// Calls of peers that may wait for the process; beyond, peers wait.
+/// Capacity of the queue of incoming calls; when it is full, peers wait.
 const CALL_QUEUE_CAPACITY: usize = 1024;
 
-/// Hands the calls of one peer to the process.
+/// Passes the calls of one peer to the process.
 #[derive(Clone)]
 struct PeerServer {
     calls: mpsc::Sender<PeerCall>,
 }
 
 impl PeerServer {
-    /// Hands a call over and waits for its answer; nothing if the process ends.
+    /// Passes a call to the process and waits for its response; `None` if the process
+    /// ends.
     async fn send_request<T>(
         &self,
         call: impl FnOnce(oneshot::Sender<T>) -> PeerCall,
@@ -38,7 +39,7 @@
         response.await.ok()
     }
 
-    /// Hands a message over that has no answer.
+    /// Passes a message without a response to the process.
     async fn notify(&self, call: PeerCall) {
         if self.calls.send(call).await.is_err() {
             log::debug!("event=message_unheard");
@@ -179,7 +180,7 @@
     }
 }
 
-/// Serves peers on this thread; the calls come out of the ring.
+/// Serves peers on this thread and returns the receiver of their calls.
 ///
 /// # Errors
 /// The address cannot be bound.
--- a/src/serving/peers.rs
+++ b/src/serving/peers.rs
@@ -1,6 +1,6 @@
-//! Links between processes: probes, places, views, jobs.
+//! RPC interface between processes: probes, slots, fleet state and jobs.
 //!
-//! All of it is a hint. What must hold is kept by the store.
+//! Messages are hints. Everything that must be durable or exclusive is in the store.
 
 use std::{net, time};
 
@@ -15,206 +15,209 @@
     ids,
 };
 
-/// What a process says of itself at each probe.
+/// Heartbeat that a process exchanges with a peer in each probe.
 #[derive(Debug, Clone, serde::Serialize, serde::Deserialize)]
 pub struct HeartbeatMessage {
-    /// The process.
+    /// Name of the process.
     pub id: ids::InstanceId,
-    /// Which of its runs this is.
+    /// Run of the process.
     pub run: ids::RunNumber,
-    /// Where it answers its peers: one that the store turns away may not know it.
+    /// Address at which it serves peers. A process that the store rejects may not know it
+    /// from the member records.
     pub address: net::SocketAddr,
-    /// Whether it is leaving.
+    /// Whether it is draining.
     pub leaving: bool,
     /// Version of its desired state.
     pub version: route_table::StateVersion,
-    /// Number of its list of endpoints, see [`super::fleet_model::FleetModel::revision`].
+    /// Revision of its list of endpoints, see
+    /// [`super::fleet_model::FleetModel::revision`].
     pub revision: u64,
     /// Digest of its list of endpoints.
     pub digest: u64,
-    /// Dispatchers that it hears itself.
+    /// Hashes of the dispatchers whose heartbeats it receives.
     #[serde(rename = "hears")]
     pub receives_from: Vec<members::MemberHash>,
-    /// Whether it follows the store itself, and the store answers.
+    /// Whether it watches the store itself and the store responds.
     pub follows_store: bool,
-    /// Digest of the processes that it knows.
+    /// Digest of its member records.
     pub members: u64,
-    /// Number of what it knows of requests that crash endpoints.
+    /// Revision of its records about requests that crash endpoints.
     pub crashes: u64,
-    /// Places for online requests at the endpoints that it owns, by service.
+    /// Free online slots at the endpoints that it owns, by service.
     #[serde(rename = "rooms")]
     pub free_slots: Vec<(ids::ServiceName, u32)>,
-    /// When it was made, by the clock of the process.
+    /// Time of creation by the clock of the process.
     pub stamp: limit_messages::ClockStamp,
-    /// For the pools of the process that it is said to.
+    /// Usage report for the token pools of the receiver.
     pub deposit: Option<limit_messages::ShareDeposit>,
 }
 
-/// A request for a place for an online request.
+/// Request for a slot for an online request.
 #[derive(Debug, Clone, serde::Serialize, serde::Deserialize)]
 pub struct OnlineSlotRequest {
-    /// Number of the permit, made by the asker at random.
+    /// Number of the permit, chosen at random by the requester.
     pub number: admission::PermitNumber,
-    /// The asker.
+    /// Run of the requester.
     pub holder: ids::InstanceRun,
-    /// Its failure domain.
+    /// Failure domain of the requester.
     pub domain: ids::DomainName,
-    /// The service.
+    /// Name of the service.
     pub service: ids::ServiceName,
-    /// Endpoints that are not wanted.
+    /// Endpoints to exclude.
     pub tried: Vec<ids::EndpointId>,
-    /// Whether a place in the queue of a full endpoint is wanted as well.
+    /// Whether a queue slot of a full endpoint is acceptable.
     pub may_queue: bool,
-    /// How long the request may wait in a queue and be in time.
+    /// How long the request may wait in a queue and still be on time.
     pub wait: time::Duration,
 }
 
-/// The owner's word on a place.
+/// Response of an owner to a slot request.
 #[derive(Debug, Clone, serde::Serialize, serde::Deserialize)]
 pub struct OnlineSlotResponse {
-    /// The endpoint, or nothing if all are full.
+    /// Endpoint of the slot; `None` if all are full.
     pub endpoint: Option<ids::EndpointId>,
-    /// Whether who answers owns endpoints of the service: views of that differ for a
-    /// moment when processes come and go.
+    /// Whether the responder owns endpoints of the service. Processes may disagree on
+    /// ownership for a moment when members change.
     pub owns: bool,
-    /// Places that the owner could still give.
+    /// Free online slots of the owner after this response.
     #[serde(rename = "room")]
     pub free_slots: u32,
-    /// Places in the queues of its endpoints that it could still give.
+    /// Free queue slots of its endpoints after this response.
     #[serde(rename = "queue_room")]
     pub free_queue_slots: u32,
 }
 
-/// The end of a permit.
+/// Release of the slot of a permit.
 #[derive(Debug, Clone, Copy, serde::Serialize, serde::Deserialize)]
 pub struct SlotRelease {
-    /// Its number.
+    /// Number of the permit.
     pub number: admission::PermitNumber,
     /// Whether the endpoint served the request.
     pub is_served: bool,
 }
 
-/// What one who had a place at an endpoint saw there.
+/// Observation of an endpoint by the holder of a slot.
 #[derive(Debug, Clone, serde::Serialize, serde::Deserialize)]
 pub enum EndpointObservation {
-    /// It failed, or did not answer at all.
+    /// The endpoint failed, or did not respond at all.
     Failed(health::FailureReport),
-    /// It refused, as it has no room.
+    /// The endpoint refused the request because it is full.
     Full,
-    /// Another endpoint is at its address, and refused.
+    /// Another endpoint is at the address and refused the request.
     Misnamed,
 }
 
-/// What was seen at an endpoint, told to its owner at once.
+/// Report of an observation to the owner of the endpoint.
 #[derive(Debug, Clone, serde::Serialize, serde::Deserialize)]
 pub struct EndpointReport {
-    /// The endpoint.
+    /// Name of the endpoint.
     pub endpoint: ids::EndpointId,
-    /// Its start: what was seen of another says nothing of the present one.
+    /// Start time of the observed run; an observation of another run does not apply.
     pub started: Option<ids::StartTime>,
-    /// What was seen there.
+    /// The observation.
     #[serde(rename = "news")]
     pub observation: EndpointObservation,
 }
 
-/// A request for places for batch streams.
+/// Request for batch slots.
 #[derive(Debug, Clone, serde::Serialize, serde::Deserialize)]
 pub struct BatchSlotRequest {
-    /// Number of this question, made by the asker at random.
+    /// Number of this request, chosen at random by the requester.
     pub number: u64,
-    /// The asker.
+    /// Run of the requester.
     pub holder: ids::InstanceRun,
-    /// The service.
+    /// Name of the service.
     pub service: ids::ServiceName,
-    /// Places that the asker can use.
+    /// Number of slots that the requester can use.
     pub count: usize,
 }
 
-/// A batch stream at an endpoint of another owner.
+/// Batch slot at an endpoint of another owner.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct BorrowedSlot {
-    /// The endpoint.
+    /// Name of the endpoint.
     pub endpoint: ids::EndpointId,
-    /// Number of the stream in the owner's ledger.
+    /// Number of the batch stream in the owner's ledger.
     pub number: admission::StreamNumber,
 }
 
-/// What came of a job that a peer wrote to the store.
+/// Outcome of a write to the store by a peer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum WriteOutcome {
-    /// It is in the store.
+    /// The write succeeded.
     Written,
-    /// It is certain that nothing was written.
+    /// Nothing was written.
     Refused,
-    /// It may take effect yet.
+    /// The write may still take effect.
     Unknown,
 }
 
-/// A request for results of a job.
+/// Request for results of a job.
 #[derive(Debug, Clone, serde::Serialize, serde::Deserialize)]
 pub struct ResultRequest {
-    /// The job.
+    /// Identifier of the job.
     pub job: ids::JobId,
-    /// First position wanted.
+    /// Index of the first result to return.
     pub after: usize,
-    /// How long to wait for a result.
+    /// How long to wait for a result to become available.
     pub wait: time::Duration,
 }
 
-/// What one process asks of another.
+/// RPC service of a process for its peers.
 #[tarpc::service]
 pub trait PeerService {
     /// Exchanges heartbeats.
     async fn probe(heartbeat: HeartbeatMessage) -> Option<HeartbeatMessage>;
-    /// Asks for a place for an online request.
+    /// Requests a slot for an online request.
     async fn acquire(request: OnlineSlotRequest) -> Option<OnlineSlotResponse>;
-    /// Gives a place back.
+    /// Releases a slot.
     async fn release(release: SlotRelease);
-    /// Tells of a failure at an endpoint.
+    /// Reports an observation of an endpoint.
     async fn report(report: EndpointReport);
-    /// Tells of a request under which an endpoint ended, or that was served since.
+    /// Reports a request during which an endpoint crashed, or that was served since.
     async fn crash_news(update: crash_ledger::CrashUpdate);
-    /// Asks for all that the peer knows of such requests.
+    /// Requests all records about such requests.
     async fn crashes() -> Option<Vec<crash_ledger::CrashUpdate>>;
-    /// Asks for a part of the desired state.
+    /// Requests a part of the desired state.
     async fn state_part(
         request: state_snapshot::StatePartRequest,
     ) -> Option<state_snapshot::StatePart>;
-    /// Asks for the list of endpoints.
+    /// Requests the list of endpoints.
     async fn endpoints() -> Option<directory::DirectorySnapshot>;
-    /// Asks for the processes that the peer knows.
+    /// Requests the member records that the peer has.
     async fn members() -> Option<Vec<members::MemberRecord>>;
-    /// Hands a job over; the answer says whether it is done already.
+    /// Hands off a job; returns whether it has already completed.
     async fn take_job(record: job_records::JobRecord) -> Option<bool>;
-    /// Asks an owner to read a job from the store and take it over; the answer says
-    /// whether it is done already.
+    /// Requests that an owner reads a job from the store and takes it over; returns
+    /// whether it has already completed.
     async fn find_job(job: ids::JobId) -> Option<bool>;
-    /// Hands a part of the progress of a job over; the answer says whether it fits to what
-    /// came before.
+    /// Sends a part of the progress of a job; returns whether it continues the previous
+    /// parts.
     async fn keep_progress(part: progress_transfer::ProgressPart) -> Option<bool>;
     /// Reads committed results.
     async fn read_results(request: ResultRequest) -> Option<wire::ResultPage>;
-    /// Tells that a job was ended.
+    /// Notifies the peer that a job was ended.
     async fn end_job(job: ids::JobId);
-    /// Asks for places for batch streams.
+    /// Requests batch slots.
     async fn lend(request: BatchSlotRequest) -> Option<Vec<BorrowedSlot>>;
-    /// Gives a place of a batch stream back.
+    /// Returns a borrowed batch slot.
     async fn give_back(slot: BorrowedSlot);
-    /// Gives all places back that were lent to a question whose answer did not come.
+    /// Returns all slots lent for a request whose response was lost.
     async fn cancel_lent(number: u64);
-    /// Takes a place of a batch stream back for an online request.
+    /// Preempts a batch stream so that an online request gets its slot.
     async fn preempt(slot: BorrowedSlot);
-    /// Asks a peer to write an accepted job to the store.
+    /// Requests that the peer writes an accepted job to the store.
     async fn write_job(record: job_records::JobRecord) -> Option<WriteOutcome>;
-    /// Asks a peer to write the end of a job to the store.
+    /// Requests that the peer writes the end of a job to the store.
     async fn write_end(job: ids::JobId) -> Option<WriteOutcome>;
-    /// Asks a keeper for tokens of a workspace, or a gateway to ask it.
+    /// Requests tokens of a workspace from a quota server, or from a gateway that relays
+    /// the request.
     async fn draw_tokens(
         request: limit_messages::TokenRequest,
     ) -> Option<limit_messages::TokenResponse>;
 }
 
-/// A call of a peer, and where its answer goes.
+/// Incoming call of a peer and the channel for its response.
 pub enum PeerCall {
     /// See [`PeerService::probe`].
     Probe(HeartbeatMessage, oneshot::Sender<HeartbeatMessage>),
--- a/src/serving/route_table.rs
+++ b/src/serving/route_table.rs
@@ -1,4 +1,4 @@
-//! The desired state: which requests go to which services, and within which bounds.
+//! The desired state: routes of requests to services, and their limits.
 
 use std::{collections, fmt, str, sync, time};
 
@@ -35,33 +35,33 @@
     }
 }
 
-/// What may be repeated of a route's requests.
+/// Kind of a route: the form of its responses, and whether its requests may be retried.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum RouteKind {
-    /// Whole answers; a request may run more than once.
+    /// Complete responses; a request may run more than once.
     Idempotent,
-    /// Whole answers; a request runs once at most.
+    /// Complete responses; a request runs at most once.
     Once,
-    /// A stream of events that may be resumed at any endpoint.
+    /// Event streams that can be resumed at any endpoint of the service.
     ResumableStream,
-    /// A stream of events; a request runs once at most.
+    /// Event streams; a request runs at most once.
     OnceStream,
-    /// Jobs of many items, accepted now and run later.
+    /// Jobs of many items, which are accepted first and run later.
     Batch,
 }
 
 impl RouteKind {
-    /// Whether a request may run more than once.
+    /// Returns whether a request may run more than once.
     pub fn is_repeatable(self) -> bool {
         matches!(self, Self::Idempotent | Self::ResumableStream)
     }
 
-    /// Whether answers are streams of events.
+    /// Returns whether responses are event streams.
     pub fn is_stream(self) -> bool {
         matches!(self, Self::ResumableStream | Self::OnceStream)
     }
 
-    /// Label of logs and metrics.
+    /// Returns the label in logs and metrics.
     pub fn label(self) -> &'static str {
         match self {
             Self::Idempotent => "idempotent",
@@ -73,67 +73,69 @@
     }
 }
 
-/// A service and its share of a route's requests.
+/// Service that receives a share of a route's requests.
 #[derive(Debug, Clone, serde::Serialize, serde::Deserialize)]
 pub struct RouteTarget {
-    /// The service.
+    /// Name of the service.
     pub service: ids::ServiceName,
     /// Its weight among the targets of the route.
     pub weight: u32,
 }
 
-/// Requests of one host under one prefix of paths.
+/// Route of the requests to one host under one path prefix.
 #[derive(Debug, Clone, serde::Serialize, serde::Deserialize)]
 pub struct Route {
-    /// Its name, for logs and metrics.
+    /// Name in logs and metrics.
     pub name: String,
-    /// The host that callers name.
+    /// Host that requests name.
     pub host: String,
     /// Prefix of the path; begins and ends with a slash.
     pub prefix: String,
-    /// What may be repeated.
+    /// Kind of the responses and retries.
     pub kind: RouteKind,
-    /// Longest time a caller is kept waiting for the whole answer.
+    /// Timeout of the complete response.
     pub timeout: time::Duration,
-    /// Time within which an answer, or the first event of a stream, is on time.
+    /// Time within which a response, or the first event of a stream, is on time.
     pub objective: time::Duration,
-    /// Longest pause between events of a stream that is on time.
+    /// Longest gap between events of a stream that is on time.
     pub gap_objective: Option<time::Duration>,
-    /// Rank among routes, 0 first.
+    /// Priority among routes; 0 is the highest.
     pub priority: u32,
-    /// Where its requests go; not empty.
+    /// Services that receive the requests; not empty.
     pub targets: Vec<RouteTarget>,
-    /// Endpoints that one request may be sent to, at least 1.
+    /// Number of endpoints that one request may be sent to, at least 1.
     pub max_attempts: u32,
-    /// For jobs: time from the first submission to the last result.
+    /// For jobs: target time from submission to the last result.
     pub completion_objective: time::Duration,
-    /// For jobs: time after which an item may be given up.
+    /// For jobs: time after which an unfinished item may be given up.
     pub retention: time::Duration,
-    /// Whether requests need no key.
+    /// Whether requests are accepted without an API key.
     pub is_public: bool,
 }
 
-/// A service that routes go to.
+/// Service that routes refer to.
 #[derive(Debug, Clone, serde::Serialize, serde::Deserialize)]
 pub struct ServiceSpec {
-    /// Its name.
+    /// Name of the service.
     pub name: ids::ServiceName,
-    /// Connections that one of its endpoints accepts from all callers together.
+    /// Number of connections that one of its endpoints accepts from all gateways
+    /// together.
     pub max_connections: u32,
-    /// Whether its endpoints are model engines, which batch work shares with online work.
+    /// Whether its endpoints are model engines, whose slots batch work shares with online
+    /// requests.
     pub is_engine: bool,
 }
 
-/// What a caller may send.
+/// Limits of client requests.
 #[derive(Debug, Clone, Copy, serde::Serialize, serde::Deserialize)]
 pub struct CallerLimits {
-    /// Bytes of a request's head.
+    /// Size of a request's head in bytes.
     pub max_head_bytes: usize,
-    /// Bytes of a request's body.
+    /// Size of a request's body in bytes.
     pub max_body_bytes: usize,
-    /// Longest wait for a head, and for a body.
+    /// Timeout of reading the head, and of reading the body.
     pub head_timeout: time::Duration,
-    /// How long an idle connection is kept.
+    /// Time after which an idle connection is closed.
     pub idle_timeout: time::Duration,
 }
 
@@ -148,24 +150,24 @@
     }
 }
 
-/// The desired state in full, as it is told between processes.
+/// Complete desired state, which is also sent between processes.
 #[derive(Debug, Clone, Default, serde::Serialize, serde::Deserialize)]
 pub struct DesiredState {
-    /// Its version.
+    /// Version of the state.
     pub version: StateVersion,
     /// All routes.
     pub routes: Vec<Route>,
     /// All services.
     pub services: Vec<ServiceSpec>,
-    /// What callers may send.
+    /// Limits of client requests.
     pub limits: CallerLimits,
-    /// Workspaces; without a list, requests need no key.
+    /// All workspaces; if `None`, requests need no API key.
     pub workspaces: Option<Vec<workspace_table::WorkspaceSpec>>,
 }
 
-/// A desired state, made ready for look-ups.
+/// Desired state indexed for lookups.
 ///
-/// Invariant: the routes of a host stand with the longest prefix first.
+/// Invariant: the routes of a host are sorted by prefix length, the longest first.
 #[derive(Debug, Default)]
 pub struct RouteTable {
     state: DesiredState,
@@ -175,7 +177,7 @@
 }
 
 impl RouteTable {
-    /// Makes a desired state ready for look-ups.
+    /// Indexes a desired state.
     pub fn new(state: DesiredState) -> Self {
         let mut hosts = collections::HashMap::<String, Vec<sync::Arc<Route>>>::new();
         for route in &state.routes {
@@ -196,28 +198,28 @@
         }
     }
 
-    /// The desired state behind the table.
+    /// Returns the desired state.
     pub fn state(&self) -> &DesiredState {
         &self.state
     }
 
-    /// Version of the desired state; 0 if none is known.
+    /// Returns the version of the desired state; 0 if none is known.
     pub fn version(&self) -> StateVersion {
         self.state.version
     }
 
-    /// Whether any desired state is known.
+    /// Returns whether a desired state is known.
     pub fn is_known(&self) -> bool {
         self.state.version > StateVersion(0)
     }
 
-    /// The route of a request, by its host and the longest prefix of its path.
+    /// Returns the route of a request, by its host and the longest matching path prefix.
     pub fn find(&self, host: &str, path: &str) -> Option<&sync::Arc<Route>> {
         let routes = self.routes_of(host)?;
         routes.iter().find(|r| path.starts_with(&r.prefix))
     }
 
-    /// The route of jobs of a host, if it has any.
+    /// Returns the batch route of a host, if it has one.
     pub fn find_batch(&self, host: &str) -> Option<&sync::Arc<Route>> {
         let routes = self.routes_of(host)?;
         routes.iter().find(|r| r.kind == RouteKind::Batch)
@@ -231,12 +233,12 @@
         }
     }
 
-    /// The workspaces.
+    /// Returns the index of workspaces.
     pub fn workspaces(&self) -> &workspace_table::WorkspaceTable {
         &self.workspaces
     }
 
-    /// A service by its name.
+    /// Returns a service by its name.
     pub fn service(&self, name: &ids::ServiceName) -> Option<&ServiceSpec> {
         self.services.get(name)
     }
--- a/src/serving/state_snapshot.rs
+++ b/src/serving/state_snapshot.rs
@@ -1,6 +1,7 @@
-//! The desired state as it goes between processes: encoded once, told in parts.
+//! Snapshots of the desired state for transfer between processes: encoded once, sent in
+//! parts.
 //!
-//! All of it is plain values. [`super::state_transfer`] carries the parts.
+//! This module performs no I/O; [`super::state_transfer`] transfers the parts.
 
 use std::{cell, collections, fmt, io::Read as _, io::Write as _};
 
@@ -9,23 +10,23 @@
 
 use super::route_table;
 
-/// Bytes of a part.
+/// Size of a part in bytes.
 ///
-/// Other messages on the link wait for one part at most: 2.2 ms at 30 Mbit/s,
-/// where the answer to a request for a place has 40 ms.
+/// Other messages on the link wait for one part at most: 2.2 ms at 30 Mbit/s, while the
+/// response to a slot request must arrive within 40 ms.
 pub const PART_BYTES: usize = 8 << 10;
 
-/// Largest state, encoded and as plain bytes; what claims more is refused. The
-/// store takes a megabyte of JSON, which is about half of that here.
+/// Largest size of a state in bytes, both compressed and uncompressed; larger ones are
+/// rejected. The store accepts one megabyte of JSON, which takes about half of that in
+/// this encoding.
 const MAX_STATE_BYTES: usize = 8 << 20;
 
-/// Most copies that are kept for transfers under way, and most bytes of them
-/// together. A state with 4,000 routes has about 0.1 MB; the newest is kept in
-/// any case.
+/// Bounds of the number of cached snapshots and of their total size in bytes. A state
+/// with 4,000 routes takes about 0.1 MB; the newest is cached in any case.
 const MAX_SNAPSHOTS: usize = 16;
 const MAX_SNAPSHOT_BYTES: usize = 4 << 20;
 
-/// Tells copies of one version apart that were encoded in different ways.
+/// Digest of the encoded bytes, which distinguishes different encodings of one version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct CopyDigest(u64);
 
@@ -35,14 +36,14 @@
     }
 }
 
-/// Which copy a transfer is of.
+/// Identifies the snapshot of a transfer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct CopyId {
     /// Version of the state.
     pub version: route_table::StateVersion,
     /// Digest of the encoded bytes.
     pub digest: CopyDigest,
-    /// Encoded bytes in all.
+    /// Total number of encoded bytes.
     pub total: usize,
 }
 
@@ -51,39 +52,40 @@
 pub enum StatePartRequest {
     /// The first part of the newest state.
     First,
-    /// The part of a copy that begins at this byte.
+    /// The part of a snapshot that begins at this byte offset.
     Next(CopyId, usize),
 }
 
 /// A part of the desired state.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct StatePart {
-    /// The copy; another one than asked for, if that is not kept any more.
+    /// Snapshot that the part belongs to; it differs from the requested one if that is no
+    /// longer cached.
     pub copy: CopyId,
-    /// Where the bytes begin.
+    /// Offset of the first byte.
     pub offset: usize,
-    /// The bytes.
+    /// Bytes of the part.
     pub bytes: Vec<u8>,
 }
 
-/// Why a state cannot be encoded or read.
+/// Error of encoding or decoding a state.
 #[derive(Debug, thiserror::Error)]
 pub enum SnapshotError {
-    /// The state cannot be encoded or read.
-    #[error("the state cannot be carried: {0}")]
+    /// The state cannot be serialised or deserialised.
+    #[error("the state cannot be encoded or decoded: {0}")]
     Malformed(#[from] postcard::Error),
-    /// The bytes do not inflate.
-    #[error("the bytes do not inflate: {0}")]
+    /// The compressed bytes are damaged.
+    #[error("the bytes cannot be decompressed: {0}")]
     Damaged(#[from] std::io::Error),
-    /// The bytes are not those that were announced.
-    #[error("the bytes have another digest than was announced")]
+    /// The bytes do not match the announced digest.
+    #[error("the digest of the bytes differs from the announced one")]
     OtherDigest,
-    /// It is larger than a state may be.
+    /// The state exceeds [`MAX_STATE_BYTES`].
     #[error("the state is larger than {MAX_STATE_BYTES} bytes")]
     TooLarge,
 }
 
-/// An encoded state.
+/// Encoded state and its identifier.
 #[derive(Debug, Clone)]
 struct EncodedSnapshot {
     id: CopyId,
@@ -93,8 +95,8 @@
 impl EncodedSnapshot {
     fn encode(state: &route_table::DesiredState) -> Result<Self, SnapshotError> {
         let plain = postcard::to_stdvec(state)?;
-        // 4,249 routes with random names, 0.31 MB: 93 KB in 1.4 ms. The best
-        // level gives 91 KB in 24 ms.
+        // 4,249 routes with random names, 0.31 MB: the fast level gives 93 KB in 1.4 ms,
+        // the best level 91 KB in 24 ms.
         let mut compressed = write::DeflateEncoder::new(Vec::new(), flate2::Compression::fast());
         compressed.write_all(&plain)?;
         let bytes = compressed.finish()?;
@@ -132,18 +134,19 @@
     Ok(postcard::from_bytes(&plain)?)
 }
 
-/// The copies that a process tells its peers.
+/// Cache of the snapshots that a process sends to its peers.
 ///
-/// A transfer that has begun is brought to its end with the copy that it began
-/// with: where versions come faster than transfers end, none would end else.
+/// A transfer continues with the snapshot that it started with. Otherwise no transfer
+/// would complete while new versions arrive faster than a transfer takes.
 #[derive(Debug, Default)]
 pub struct SnapshotCache {
-    /// The most recently used last.
+    /// Ordered by use, the most recent one last.
     snapshots: cell::RefCell<collections::VecDeque<EncodedSnapshot>>,
 }
 
 impl SnapshotCache {
-    /// The part that was asked for, or the first one of the newest state.
+    /// Returns the requested part, or the first part of the newest state if the snapshot
+    /// is no longer cached.
     ///
     /// # Errors
     /// The state cannot be encoded.
@@ -166,7 +169,7 @@
         Ok(first)
     }
 
-    /// Finds a copy, and counts it as used.
+    /// Finds a snapshot and marks it as the most recently used.
     fn find(&self, is_wanted: impl Fn(&EncodedSnapshot) -> bool) -> Option<EncodedSnapshot> {
         let mut snapshots = self.snapshots.borrow_mut();
         let index = snapshots.iter().position(is_wanted)?;
@@ -189,22 +192,23 @@
     }
 }
 
-/// What a part came to.
+/// Result of adding a part.
 #[derive(Debug)]
 pub enum PartOutcome {
-    /// It was added, and more are to come.
+    /// The part was added, and more are needed.
     Added,
-    /// It was the last one.
+    /// The part was the last one; the state is complete.
     Complete(route_table::DesiredState),
-    /// It belongs to another copy, or another place: nothing was added.
+    /// The part belongs to another snapshot or offset and was not added.
     Mismatched(StatePart),
-    /// It is of no use, and nor is what was there before.
+    /// The part or the complete state is invalid. An invalid complete state discards all
+    /// parts received so far.
     Invalid(SnapshotError),
 }
 
-/// A desired state that is coming in, part by part, from one peer or several.
+/// Desired state that is received part by part, from one peer or several.
 ///
-/// Invariant: `bytes` are the first bytes of `copy`, and not all of them.
+/// Invariant: `bytes` is a proper prefix of the snapshot `copy`.
 #[derive(Debug, Default)]
 pub struct IncomingSnapshot {
     copy: Option<CopyId>,
@@ -212,7 +216,7 @@
 }
 
 impl IncomingSnapshot {
-    /// What to ask for next.
+    /// Returns the next part to request.
     pub fn next_request(&self) -> StatePartRequest {
         match self.copy {
             Some(id) => StatePartRequest::Next(id, self.bytes.len()),
@@ -220,17 +224,17 @@
         }
     }
 
-    /// Version of the state that is coming in.
+    /// Returns the version of the state that is being received.
     pub fn version(&self) -> Option<route_table::StateVersion> {
         self.copy.map(|id| id.version)
     }
 
-    /// Forgets what came so far.
+    /// Discards all parts received so far.
     pub fn clear(&mut self) {
         *self = Self::default();
     }
 
-    /// Adds a part; the first one of another copy only after [`Self::clear`].
+    /// Adds a part. A part of another snapshot is accepted only after [`Self::clear`].
     pub fn add(&mut self, part: StatePart) -> PartOutcome {
         if part.copy.total > MAX_STATE_BYTES {
             return PartOutcome::Invalid(SnapshotError::TooLarge);
--- a/src/serving/state_transfer.rs
+++ b/src/serving/state_transfer.rs
@@ -1,9 +1,9 @@
 //! Fetches a newer desired state from peers: one transfer at a time, in parts.
 //!
-//! A timeout for the whole would have to know how large the state is and how
-//! narrow the link; transfers that it ends fill the link without any use. Here
-//! it bounds one part, what has come is kept over failures, and nothing is
-//! asked for twice.
+//! A timeout for the whole transfer would have to account for the size of the state and
+//! the bandwidth of the link, and transfers that it aborts would fill the link in vain.
+//! The timeout here applies to one part. Received parts are kept over failures, and none
+//! is requested twice.
 
 use std::{cell, net, rc, time};
 
@@ -12,53 +12,54 @@
 use super::{context, fleet_source, peer_links, single_flight, state_snapshot};
 use crate::clock;
 
-/// Longest wait for a part; it takes 2 ms of a link of 30 Mbit/s, and 270 ms of
-/// one that carries 30 KB/s.
+/// Timeout of a part, which takes 2 ms on a link of 30 Mbit/s, and 270 ms on one of 30
+/// KB/s.
 const PART_TIMEOUT: time::Duration = time::Duration::from_millis(500);
 
-/// A peer whose part took longer is left for another that has the state: a
-/// slowed process would make a transfer of 15 parts last for seconds. A part
-/// takes 4 to 8 ms where nothing is slow.
+/// Duration of a part beyond which another peer that has the state is used. A slow
+/// process would make a transfer of 15 parts take seconds; a part takes 4 to 8 ms
+/// otherwise.
 const SLOW_PART_THRESHOLD: time::Duration = time::Duration::from_millis(100);
 
-/// Peers that may fail in a row, and copies that may be begun anew, before the
-/// transfer waits for the next heartbeat, 250 ms at most.
+/// Maximum number of consecutive failures, and of restarts with another snapshot. After
+/// that, the transfer waits for the next heartbeat, 250 ms at most.
 const MAX_FAILURES: u32 = 3;
 
-/// What a process keeps for transfers of the desired state.
+/// State of the transfers of a process.
 #[derive(Debug, Default)]
 pub struct StateTransfer {
-    /// Copies for peers.
+    /// Snapshots that are sent to peers.
     pub cache: state_snapshot::SnapshotCache,
     incoming: cell::RefCell<state_snapshot::IncomingSnapshot>,
     flight: single_flight::SingleFlight,
 }
 
-/// How a transfer goes on after a part.
+/// Next step of a transfer after a part.
 enum NextStep {
-    /// With this peer.
+    /// Requests the next part from this peer.
     From(net::SocketAddr),
-    /// Not at all, for now.
+    /// Stops until the next heartbeat of a peer with a newer state.
     Stop,
 }
 
-/// A transfer under way.
+/// Transfer in progress.
 struct TransferRun {
     context: rc::Rc<context::ProcessContext>,
     started_at: clock::BootInstant,
     parts: u32,
     failures: u32,
-    /// The peer that gave the latest part.
+    /// Peer that sent the latest part.
     source: Option<net::SocketAddr>,
-    /// Whether only the source is asked: others do not have the copy that is coming in.
+    /// Whether parts are requested from `source` alone, because other peers do not have
+    /// the snapshot.
     is_pinned: bool,
-    /// Copies that were begun anew, as no peer had the one that was coming in.
+    /// Number of restarts because no peer had the snapshot any more.
     restarts: u32,
 }
 
-/// Fetches the desired state, beginning with a peer that said it has a newer one.
+/// Fetches the desired state, starting with a peer that reported a newer one.
 ///
-/// Does nothing while a transfer is under way.
+/// Does nothing while a transfer is in progress.
 pub(super) async fn fetch(context: rc::Rc<context::ProcessContext>, peer: net::SocketAddr) {
     let Some(_guard) = context.state_transfer.flight.begin() else {
         return;
@@ -84,7 +85,7 @@
         self.context.state_transfer.incoming.borrow_mut()
     }
 
-    /// Drops what came of a state that is not newer any more.
+    /// Discards the parts of a state that is no longer newer than the active one.
     fn drop_outdated(&self) {
         let known = self.context.fleet.table().version();
         let mut incoming = self.incoming();
@@ -93,7 +94,7 @@
         }
     }
 
-    /// Asks a peer for one part.
+    /// Requests one part from a peer.
     async fn step(&mut self, peer: net::SocketAddr) -> NextStep {
         let links = self.context.links.clone();
         links.try_connect(peer).await;
@@ -161,8 +162,8 @@
         self.context.fleet.apply(update);
     }
 
-    /// A part of another copy: goes back to the peer that has the copy that is
-    /// coming in; if there is none, the other copy is taken.
+    /// Handles a part of another snapshot: returns to the peer that has the snapshot in
+    /// progress, or starts over with the other snapshot if there is none.
     fn handle_mismatch(
         &mut self,
         peer: net::SocketAddr,
@@ -187,7 +188,7 @@
         }
     }
 
-    /// Goes on with another peer, if there is one.
+    /// Continues with another peer after a failure, if there is one.
     fn switch_peer(&mut self, peer: net::SocketAddr, reason: peer_links::PeerError) -> NextStep {
         self.count("state_missing", 0);
         log::info!("event=peer_state_missing peer={peer} why=\"{reason}\"");
@@ -205,7 +206,7 @@
         }
     }
 
-    /// The same peer, or after a slow part another one.
+    /// Returns the same peer, or another one after a slow part.
     fn next_peer(&self, peer: net::SocketAddr, duration: time::Duration) -> net::SocketAddr {
         if duration < SLOW_PART_THRESHOLD || self.is_pinned {
             return peer;
@@ -213,7 +214,7 @@
         self.other_peer(peer).unwrap_or(peer)
     }
 
-    /// A live peer with a newer state, other than this one.
+    /// Returns a random responding peer with a newer state, other than the given one.
     fn other_peer(&self, peer: net::SocketAddr) -> Option<net::SocketAddr> {
         let known = self.context.fleet.table().version();
         let now = self.context.clock.now();
--- a/src/serving/suspension.rs
+++ b/src/serving/suspension.rs
@@ -1,19 +1,19 @@
-//! What a process does when its machine was suspended for a while.
+//! Handling of machine suspension.
 //!
-//! Ages and deadlines are by a clock that counts on meanwhile ([`clock::BootInstant`]).
-//! Timers of the runtime do not: what waits for one is woken here, and looks at the
-//! clock again.
+//! Ages and deadlines use a clock that includes the time of suspension
+//! ([`clock::BootInstant`]). The timers of the runtime do not, so code that waits for one
+//! is woken here and checks the clock again.
 
 use std::{rc, time};
 
 use super::{context, fleet_source};
 use crate::clock;
 
-/// How often it is looked whether the machine was suspended. A request whose caller has
-/// left meanwhile holds its place for so long at most.
+/// Interval between two checks for a suspension. It bounds the time for which a request
+/// whose client has disconnected meanwhile still holds its slot.
 const POLL_INTERVAL: time::Duration = time::Duration::from_millis(100);
 
-/// Notices suspensions, and has all that is outdated by them looked at again.
+/// Detects suspensions and triggers a refresh of all state that may be outdated.
 pub(super) async fn follow(context: rc::Rc<context::ProcessContext>) {
     let mut gauge = clock::SuspensionGauge::default();
     loop {
@@ -23,15 +23,15 @@
         };
         log::warn!("event=suspended ms={}", duration.as_millis());
         context.wakes.send_modify(|count| *count += 1);
-        // Watches that were under way may have ended at the store without a word.
+        // The store may have ended open watches without notice.
         context.fleet.apply(fleet_source::FleetUpdate::Recovered);
         context.members_changed.notify_one();
     }
 }
 
-/// Resolves when a time is over, though the machine is suspended meanwhile.
+/// Resolves when the remaining time is zero, even if the machine is suspended meanwhile.
 ///
-/// `left` tells how much of it is left, by a clock that counts on.
+/// `remaining` returns the time left by a clock that includes suspension.
 pub(super) async fn sleep_remaining(
     context: &context::ProcessContext,
     remaining: impl Fn() -> time::Duration,
