--- a/src/serving/crash_watch.rs
+++ b/src/serving/crash_watch.rs
@@ -117,7 +117,7 @@
     );
     if evidence == EndEvidence::Refused {
         let observation = endpoint_reports::failure(context, true);
-        let nobody = endpoint_reports::SlotGrantor::Nobody;
+        let nobody = endpoint_reports::SlotGrantor::NoOwner;
         endpoint_reports::record(context, &run.endpoint, nobody, observation);
     }
 }
--- a/src/serving/endpoint_reports.rs
+++ b/src/serving/endpoint_reports.rs
@@ -12,9 +12,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum SlotGrantor {
     /// No owner was involved: the slot was taken on the counts of this process.
-    Nobody,
+    NoOwner,
     /// This process, as the owner of the endpoint.
-    Here,
+    Local,
     /// A peer that owns the endpoint, or relays for the owner.
     Peer(net::SocketAddr),
 }
@@ -66,8 +66,8 @@
         observation,
     };
     match grantor {
-        SlotGrantor::Nobody => {}
-        SlotGrantor::Here => peer_calls::apply_report(context, &report),
+        SlotGrantor::NoOwner => {}
+        SlotGrantor::Local => peer_calls::apply_report(context, &report),
         SlotGrantor::Peer(owner) => context.links.report(owner, report),
     }
 }
--- a/src/serving/item_run.rs
+++ b/src/serving/item_run.rs
@@ -296,7 +296,7 @@
             RunEnd::Impossible | RunEnd::Failed | RunEnd::Preempted => None,
         };
         let grantor = match self.lender {
-            None => endpoint_reports::SlotGrantor::Here,
+            None => endpoint_reports::SlotGrantor::Local,
             Some(lender) => endpoint_reports::SlotGrantor::Peer(lender),
         };
         if let Some(observation) = observation {
--- a/src/serving/members.rs
+++ b/src/serving/members.rs
@@ -272,11 +272,11 @@
         now: clock::MonotonicTime,
     ) -> Vec<&MemberRecord> {
         let silent = self.peers.values().filter(|peer| {
-            let counts = match peer.last_seen {
+            let remains = match peer.last_seen {
                 Some(at) => now.since(at) < QUOTA_SERVER_TIMEOUT && !peer.heartbeat.leaving,
                 None => is_young,
             };
-            counts && peer.record.role == MemberRole::Dispatcher
+            remains && peer.record.role == MemberRole::Dispatcher
         });
         silent.map(|peer| &peer.record).collect()
     }
--- a/src/serving/process.rs
+++ b/src/serving/process.rs
@@ -44,7 +44,7 @@
     actix_rt::spawn(crash_guard::read_held(context.clone()));
     actix_rt::spawn(owners::tick(context.clone()));
     actix_rt::spawn(owners::follow_orders(context.clone()));
-    actix_rt::spawn(suspension::follow(context.clone()));
+    actix_rt::spawn(suspension::watch(context.clone()));
     job_runner::start(&context);
     actix_rt::spawn(job_checkpoints::tell_progress(context.clone()));
     if stop.recv().await.is_none() {
--- a/src/serving/slots.rs
+++ b/src/serving/slots.rs
@@ -69,8 +69,8 @@
 
     fn tell(&self, observation: peers::EndpointObservation) {
         let grantor = match self.permit {
-            None => endpoint_reports::SlotGrantor::Nobody,
-            Some(HeldPermit::Here(_)) => endpoint_reports::SlotGrantor::Here,
+            None => endpoint_reports::SlotGrantor::NoOwner,
+            Some(HeldPermit::Here(_)) => endpoint_reports::SlotGrantor::Local,
             Some(HeldPermit::Peer(owner, _)) => endpoint_reports::SlotGrantor::Peer(owner),
         };
         endpoint_reports::record(&self.context, &self.endpoint, grantor, observation);
--- a/src/serving/state_snapshot.rs
+++ b/src/serving/state_snapshot.rs
@@ -80,7 +80,7 @@
     /// The bytes do not match the announced digest.
     #[error("the digest of the bytes differs from the announced one")]
     OtherDigest,
-    /// The state exceeds [`MAX_STATE_BYTES`].
+    /// The state exceeds the size limit.
     #[error("the state is larger than {MAX_STATE_BYTES} bytes")]
     TooLarge,
 }
@@ -208,17 +208,17 @@
 
 /// Desired state that is received part by part, from one peer or several.
 ///
-/// Invariant: `bytes` is a proper prefix of the snapshot `copy`.
+/// Invariant: `bytes` is a proper prefix of the snapshot `id`.
 #[derive(Debug, Default)]
 pub struct IncomingSnapshot {
-    copy: Option<CopyId>,
+    id: Option<CopyId>,
     bytes: Vec<u8>,
 }
 
 impl IncomingSnapshot {
     /// Returns the next part to request.
     pub fn next_request(&self) -> StatePartRequest {
-        match self.copy {
+        match self.id {
             Some(id) => StatePartRequest::Next(id, self.bytes.len()),
             None => StatePartRequest::First,
         }
@@ -226,7 +226,7 @@
 
     /// Returns the version of the state that is being received.
     pub fn version(&self) -> Option<route_table::StateVersion> {
-        self.copy.map(|id| id.version)
+        self.id.map(|id| id.version)
     }
 
     /// Discards all parts received so far.
@@ -239,7 +239,7 @@
         if part.copy.total > MAX_STATE_BYTES {
             return PartOutcome::Invalid(SnapshotError::TooLarge);
         }
-        let id = *self.copy.get_or_insert(part.copy);
+        let id = *self.id.get_or_insert(part.copy);
         let is_next = part.copy == id && part.offset == self.bytes.len();
         let left = id.total.saturating_sub(self.bytes.len());
         if !is_next || part.bytes.is_empty() || part.bytes.len() > left {
--- a/src/serving/suspension.rs
+++ b/src/serving/suspension.rs
@@ -14,7 +14,7 @@
 const POLL_INTERVAL: time::Duration = time::Duration::from_millis(100);
 
 /// Detects suspensions and triggers a refresh of all state that may be outdated.
-pub(super) async fn follow(context: rc::Rc<context::ProcessContext>) {
+pub(super) async fn watch(context: rc::Rc<context::ProcessContext>) {
     let mut gauge = clock::SuspensionGauge::default();
     loop {
         actix_rt::time::sleep(POLL_INTERVAL).await;
