--- a/src/serving/context.rs
+++ b/src/serving/context.rs
@@ -118,7 +118,7 @@
     pub first_estimates:
         cell::RefCell<collections::HashMap<ids::ServiceName, queue_limit::FirstEventEstimate>>,
     /// Latest heartbeat of this process, and the time at which it was built.
-    cached_heartbeat: cell::RefCell<Option<(clock::MonotonicTime, peers::PeerHello)>>,
+    cached_heartbeat: cell::RefCell<Option<(clock::MonotonicTime, peers::HeartbeatMessage)>>,
     /// Change number of the endpoint list for which ownership was last computed.
     pub(super) owned_change_number: cell::Cell<Option<u64>>,
     /// Whether the member records have been read from the store.
@@ -292,7 +292,7 @@
 
     /// Returns the heartbeat of this process, which is rebuilt once it is some
     /// milliseconds old.
-    pub fn heartbeat(&self) -> peers::PeerHello {
+    pub fn heartbeat(&self) -> peers::HeartbeatMessage {
         let now = self.clock.now();
         if let Some((at, heartbeat)) = &*self.cached_heartbeat.borrow() {
             if now.since(*at) < HEARTBEAT_MAX_AGE && heartbeat.leaving == self.is_leaving() {
@@ -304,10 +304,10 @@
         heartbeat
     }
 
-    fn build_heartbeat(&self, now: clock::MonotonicTime) -> peers::PeerHello {
+    fn build_heartbeat(&self, now: clock::MonotonicTime) -> peers::HeartbeatMessage {
         let members = self.members.borrow();
-        let dispatchers = members.heard_dispatchers(now);
-        peers::PeerHello {
+        let dispatchers = members.live_dispatchers(now);
+        peers::HeartbeatMessage {
             id: self.id().clone(),
             run: self.run.run,
             address: self.options.member.address,
@@ -315,7 +315,7 @@
             version: self.fleet.table().version(),
             revision: self.fleet.revision(),
             digest: self.fleet.digest(),
-            receives_from: dispatchers.iter().map(members::MemberMark::of).collect(),
+            receives_from: dispatchers.iter().map(members::MemberHash::of).collect(),
             follows_store: self.fleet.is_following() && self.members_known.get(),
             members: members.digest(&self.options.member),
             crashes: self.crashes.state_digest(),
--- a/src/serving/crash_guard.rs
+++ b/src/serving/crash_guard.rs
@@ -215,7 +215,7 @@
 /// Several processes do so, as the store may refuse one of them.
 fn is_writer(context: &context::ProcessContext) -> bool {
     let owners = context.owners();
-    let mut writers = owners.iter().take(members::FOLLOWERS);
+    let mut writers = owners.iter().take(members::STORE_FOLLOWERS);
     writers.any(|owner| owner.id == *context.id())
 }
 
@@ -224,7 +224,7 @@
 pub(super) fn pull_from(
     context: &rc::Rc<context::ProcessContext>,
     peer: net::SocketAddr,
-    heartbeat: &peers::PeerHello,
+    heartbeat: &peers::HeartbeatMessage,
 ) {
     let guard = &context.crashes;
     let is_due = context.clock.now() >= guard.next_pull_at.get();
@@ -243,7 +243,7 @@
     let Some(_pull) = guard.flight.begin() else {
         return;
     };
-    context.links.settle(peer).await;
+    context.links.try_connect(peer).await;
     let is_new = match context.links.crashes(peer, PULL_TIMEOUT).await {
         Ok(all) => {
             let new = all
@@ -351,7 +351,7 @@
     }
     for attempt in 0.. {
         let now = context.clock.now();
-        let receives_from_dispatcher = !context.members.borrow().heard_dispatchers(now).is_empty();
+        let receives_from_dispatcher = !context.members.borrow().live_dispatchers(now).is_empty();
         if is_gateway && receives_from_dispatcher {
             return;
         }
--- a/src/serving/crash_watch.rs
+++ b/src/serving/crash_watch.rs
@@ -72,7 +72,7 @@
         // Without a response, a proxy may have accepted the connection for a dead endpoint.
         true if !run.has_head => None,
         true => {
-            let restart_future = context.fleet.other_start(&run.endpoint);
+            let restart_future = context.fleet.restarted(&run.endpoint);
             let restart = tokio::time::timeout(RESTART_TIMEOUT, restart_future).await;
             restart.is_ok().then_some(EndEvidence::StartedAgain)
         }
@@ -120,7 +120,7 @@
     );
     if evidence == EndEvidence::Refused {
         let observation = endpoint_reports::failure(context, true);
-        let grantor = endpoint_reports::SlotGrantor::Nobody;
+        let grantor = endpoint_reports::SlotGrantor::NoOwner;
         endpoint_reports::record(context, &run.endpoint, grantor, observation);
     }
 }
--- a/src/serving/item_run.rs
+++ b/src/serving/item_run.rs
@@ -241,7 +241,7 @@
                             return RunEnd::Cut(format!("event {} after {last_event:?}", event.id));
                         }
                         if last_event == resume_after {
-                            self.context.fleet.record_named(&self.endpoint.id);
+                            self.context.fleet.record_verified(&self.endpoint.id);
                         }
                         last_event = Some(event.id);
                         if !self.append_event(&event) {
@@ -298,12 +298,12 @@
             RunEnd::Cut(_) => Some(endpoint_reports::failure(context, true)),
             RunEnd::NotRun(reason) => {
                 endpoint_reports::count_refusal(context, *reason);
-                endpoint_reports::of_refusal(context, *reason)
+                endpoint_reports::from_refusal(context, *reason)
             }
             RunEnd::Impossible | RunEnd::Failed | RunEnd::Preempted => None,
         };
         let grantor = match self.lender {
-            None => endpoint_reports::SlotGrantor::Here,
+            None => endpoint_reports::SlotGrantor::Local,
             Some(lender) => endpoint_reports::SlotGrantor::Peer(lender),
         };
         if let Some(observation) = observation {
--- a/src/serving/job_upkeep.rs
+++ b/src/serving/job_upkeep.rs
@@ -74,7 +74,7 @@
     let mut dispatchers = members
         .records()
         .filter(|r| r.role == members::MemberRole::Dispatcher);
-    context.members_known.get() && dispatchers.all(|r| members.was_heard(&r.id))
+    context.members_known.get() && dispatchers.all(|r| members.was_seen(&r.id))
 }
 
 async fn adopt_stored_jobs(context: &rc::Rc<context::ProcessContext>) -> store::StoreResult<()> {
@@ -115,7 +115,7 @@
         let response = context.store.watch(&[&prefix], since, WATCH_TIMEOUT);
         let response = tokio::select! {
             response = response => response,
-            () = context.fleet.source_return() => continue,
+            () = context.fleet.source_recovered() => continue,
         };
         match response {
             Ok(response) => {
--- a/src/serving/limit_links.rs
+++ b/src/serving/limit_links.rs
@@ -16,7 +16,7 @@
 };
 
 /// Timeout of a request to a quota server that counts as alive.
-const LIVE_TIMEOUT: time::Duration = members::PEER_SILENCE;
+const LIVE_TIMEOUT: time::Duration = members::PEER_TIMEOUT;
 /// Timeout of a request to a quota server whose heartbeats are missing.
 const SILENT_TIMEOUT: time::Duration = time::Duration::from_millis(100);
 /// Time after which a workspace without requests is forgotten.
@@ -143,9 +143,9 @@
     context: &context::ProcessContext,
     now: clock::MonotonicTime,
 ) -> Vec<ids::InstanceId> {
-    let has_just_started = context.age() < members::KEEPER_SILENCE;
+    let has_just_started = context.age() < members::QUOTA_SERVER_TIMEOUT;
     let members = context.members.borrow();
-    let silent = members.silent_keepers(has_just_started, now);
+    let silent = members.silent_quota_servers(has_just_started, now);
     let owners = context.owners();
     let is_dispatcher = |id: &ids::InstanceId| {
         let own = &context.options.member;
@@ -235,7 +235,7 @@
 pub(super) fn add_deposit(
     context: &context::ProcessContext,
     peer: &ids::InstanceId,
-    heartbeat: &mut peers::PeerHello,
+    heartbeat: &mut peers::HeartbeatMessage,
 ) -> Option<SentDeposit> {
     let (run, stamp) = context.stamps.borrow().get(peer).copied()?;
     let due = take_due_deposit(context, peer, context.clock.now())?;
@@ -256,7 +256,7 @@
 pub(super) fn settle_deposit(
     context: &context::ProcessContext,
     sent: Option<SentDeposit>,
-    response: &Result<peers::PeerHello, peer_links::PeerError>,
+    response: &Result<peers::HeartbeatMessage, peer_links::PeerError>,
 ) {
     if let (Some(sent), Err(peer_links::PeerError::NotSent)) = (sent, response) {
         let mut shares = context.shares.borrow_mut();
@@ -265,13 +265,13 @@
 }
 
 /// Records the clock stamp of a peer that may be a quota server.
-pub(super) fn record_stamp(context: &context::ProcessContext, heartbeat: &peers::PeerHello) {
+pub(super) fn record_stamp(context: &context::ProcessContext, heartbeat: &peers::HeartbeatMessage) {
     let mut stamps = context.stamps.borrow_mut();
     stamps.insert(heartbeat.id.clone(), (heartbeat.run, heartbeat.stamp));
 }
 
 /// Credits the deposit in a gateway's heartbeat, if there is one.
-pub(super) fn credit_deposit(context: &context::ProcessContext, heartbeat: &peers::PeerHello) {
+pub(super) fn credit_deposit(context: &context::ProcessContext, heartbeat: &peers::HeartbeatMessage) {
     let Some(deposit) = heartbeat.deposit else {
         return;
     };
--- a/src/serving/owners.rs
+++ b/src/serving/owners.rs
@@ -106,8 +106,8 @@
 /// follows it.
 fn is_follower(context: &context::ProcessContext, now: clock::MonotonicTime) -> bool {
     let owners = context.owners();
-    let mut first = owners.iter().take(members::FOLLOWERS);
-    first.any(|o| o.id == *context.id()) || !context.members.borrow().hears_follower(now)
+    let mut first = owners.iter().take(members::STORE_FOLLOWERS);
+    first.any(|o| o.id == *context.id()) || !context.members.borrow().has_live_follower(now)
 }
 
 /// Returns whether the process has run for long enough to have received heartbeats from
@@ -163,7 +163,7 @@
         *context.owners.borrow_mut() = rc::Rc::new(owners);
     }
     limit_links::update_quota_servers(context);
-    context.fleet.set_follows(is_follower(context, now));
+    context.fleet.set_follows_store(is_follower(context, now));
     let change_number = Some(context.fleet.change_number());
     if context.owned_change_number.replace(change_number) != change_number || changed {
         refresh_owned(context);
@@ -183,7 +183,7 @@
         owner.is_some_and(|o| o.id == *context.id())
     });
     let owned: Vec<_> = owned.cloned().collect();
-    let unverified = directory.doubtful().clone();
+    let unverified = directory.unverified().clone();
     drop(directory);
     let mut permits = context.permits.borrow_mut();
     permits.set_unverified(unverified);
--- a/src/serving/peer_calls.rs
+++ b/src/serving/peer_calls.rs
@@ -1,38 +1,38 @@
-//! Answers the calls of peers.
+//! Handles the calls of peers.
 
 use std::rc;
 
 use tokio::sync::mpsc;
 
 use super::{
-    context, crash_guard, job_calls, job_checkpoints, job_records, job_runner, job_supervisor,
-    limit_links, peers, slots, views,
+    context, crash_guard, fleet_sync, job_calls, job_checkpoints, job_records, job_runner, job_supervisor,
+    limit_links, peers, slots,
 };
 use crate::{decisions::admission, ids, store};
 
-/// Answers the calls of peers.
+/// Handles the calls of peers.
 pub(super) async fn serve_peers(
     context: rc::Rc<context::ProcessContext>,
     mut calls: mpsc::Receiver<peers::PeerCall>,
 ) {
     while let Some(call) = calls.recv().await {
-        answer_peer(&context, call);
+        handle_call(&context, call);
     }
 }
 
-/// Gives an answer to a caller that may have gone.
+/// Sends a response to a caller that may have disconnected.
 fn reply<T>(sender: tokio::sync::oneshot::Sender<T>, value: T) {
     if sender.send(value).is_err() {
         log::debug!("event=peer_left_before_answer");
     }
 }
 
-fn answer_peer(context: &rc::Rc<context::ProcessContext>, call: peers::PeerCall) {
+fn handle_call(context: &rc::Rc<context::ProcessContext>, call: peers::PeerCall) {
     use peers::PeerCall as C;
 
     match call {
-        C::Probe(hello, sender) => {
-            views::take_probe(context, &hello);
+        C::Probe(heartbeat, sender) => {
+            fleet_sync::receive_probe(context, &heartbeat);
             reply(sender, context.heartbeat());
         }
         C::Acquire(request, sender) => {
@@ -48,7 +48,7 @@
             });
         }
         C::Release(ended) => release(context, ended),
-        C::Report(report) => take_report(context, &report),
+        C::Report(report) => apply_report(context, &report),
         C::CrashUpdate(update) => {
             crash_guard::apply_update(context, update);
         }
@@ -58,12 +58,12 @@
             if !table.is_known() {
                 return;
             }
-            match context.state_transfer.shelf.part(request, table.state()) {
+            match context.state_transfer.cache.part(request, table.state()) {
                 Ok(part) => reply(sender, part),
                 Err(e) => log::warn!("event=state_untold why=\"{e}\""),
             }
         }
-        C::Endpoints(sender) => reply(sender, context.fleet.copy()),
+        C::Endpoints(sender) => reply(sender, context.fleet.snapshot()),
         C::Members(sender) => {
             let members = context.members.borrow();
             let own = [&context.options.member];
@@ -136,7 +136,7 @@
     }
 }
 
-/// What a write to the store came to, for a peer.
+/// Converts the result of a write to the store for a peer.
 fn write_outcome(written: &store::StoreResult<()>) -> peers::WriteOutcome {
     match written {
         Ok(()) => peers::WriteOutcome::Written,
@@ -147,7 +147,7 @@
     }
 }
 
-/// Lends places of batch streams at owned endpoints.
+/// Lends batch slots at owned endpoints.
 fn lend(
     context: &context::ProcessContext,
     request: &peers::BatchSlotRequest,
@@ -164,7 +164,7 @@
     slots.collect()
 }
 
-/// Gives a place at an owned endpoint, and takes batch streams back for it.
+/// Grants a slot at an owned endpoint, preempting batch streams if necessary.
 pub fn grant(
     context: &rc::Rc<context::ProcessContext>,
     request: &peers::OnlineSlotRequest,
@@ -200,7 +200,7 @@
     }
 }
 
-/// Takes a batch stream back, of this process or of the peer that runs it.
+/// Preempts a batch stream that runs here or at the borrower of the slot.
 fn preempt(
     context: &context::ProcessContext,
     endpoint: &ids::EndpointId,
@@ -220,7 +220,8 @@
     }
 }
 
-/// Takes a place back; batch work may use it.
+/// Releases a slot, which batch work may then use. A release of a relayed permit is
+/// forwarded to the owner.
 pub fn release(context: &context::ProcessContext, ended: peers::SlotRelease) {
     let mut permits = context.permits.borrow_mut();
     let released = match ended.is_served {
@@ -231,7 +232,7 @@
     if let Some(endpoint) = released {
         if ended.is_served {
             context.loads.borrow_mut().record_served(&endpoint);
-            context.fleet.record_named(&endpoint);
+            context.fleet.record_verified(&endpoint);
         }
         context.jobs.work.notify_one();
         return;
@@ -242,8 +243,8 @@
     }
 }
 
-/// Takes what a holder of a place saw at an endpoint.
-pub fn take_report(context: &context::ProcessContext, report: &peers::EndpointReport) {
+/// Applies an observation that the holder of a slot reported.
+pub fn apply_report(context: &context::ProcessContext, report: &peers::EndpointReport) {
     let peers::EndpointReport {
         endpoint,
         started,
@@ -271,6 +272,8 @@
         peers::EndpointObservation::Full => {
             context.permits.borrow_mut().record_refused(endpoint, now)
         }
-        peers::EndpointObservation::Misnamed => context.fleet.record_misnamed(endpoint, *started),
+        peers::EndpointObservation::Misnamed => {
+            context.fleet.record_misidentified(endpoint, *started)
+        }
     }
 }
--- a/src/serving/progress_transfer.rs
+++ b/src/serving/progress_transfer.rs
@@ -205,7 +205,7 @@
 ) -> Result<bool, peer_links::PeerError> {
     let mut attempts = 1;
     loop {
-        links.reach(peer, CONNECT_TIMEOUT).await;
+        links.connect_within(peer, CONNECT_TIMEOUT).await;
         let sent = links.keep_progress(peer, part.clone(), PART_TIMEOUT).await;
         if sent.is_ok() || attempts >= MAX_PART_ATTEMPTS {
             return sent;
--- a/src/serving/relay.rs
+++ b/src/serving/relay.rs
@@ -135,7 +135,7 @@
 
     /// Resolves when the deadline of the request has passed.
     pub(super) async fn wait_for_deadline(&self) {
-        suspension::time_over(&self.context, || self.time_left()).await;
+        suspension::sleep_remaining(&self.context, || self.time_left()).await;
     }
 
     /// Returns whether the request may run more than once.
--- a/src/serving/slots.rs
+++ b/src/serving/slots.rs
@@ -40,7 +40,7 @@
         let mut loads = self.context.loads.borrow_mut();
         loads.health.record_success(&self.endpoint.id);
         if !self.is_served.replace(true) {
-            self.context.fleet.record_named(&self.endpoint.id);
+            self.context.fleet.record_verified(&self.endpoint.id);
             let mut firsts = self.context.first_estimates.borrow_mut();
             let first = firsts.entry(self.endpoint.service.clone()).or_default();
             first.record(self.context.clock.now().since(self.acquired_at));
@@ -67,15 +67,15 @@
     pub fn record_refused(&self, reason: outcome::NotRunReason) {
         self.is_served.set(false);
         endpoint_reports::count_refusal(&self.context, reason);
-        if let Some(observation) = endpoint_reports::of_refusal(&self.context, reason) {
+        if let Some(observation) = endpoint_reports::from_refusal(&self.context, reason) {
             self.report(observation);
         }
     }
 
     fn report(&self, observation: peers::EndpointObservation) {
         let grantor = match self.permit {
-            None => endpoint_reports::SlotGrantor::Nobody,
-            Some(HeldPermit::Here(_)) => endpoint_reports::SlotGrantor::Here,
+            None => endpoint_reports::SlotGrantor::NoOwner,
+            Some(HeldPermit::Here(_)) => endpoint_reports::SlotGrantor::Local,
             Some(HeldPermit::Peer(owner, _)) => endpoint_reports::SlotGrantor::Peer(owner),
         };
         endpoint_reports::record(&self.context, &self.endpoint, grantor, observation);
--- a/src/serving/slow_attempt.rs
+++ b/src/serving/slow_attempt.rs
@@ -376,7 +376,7 @@
     context: rc::Rc<context::ProcessContext>,
     endpoint: rc::Rc<directory::EndpointEntry>,
 ) {
-    context.fleet.other_start(&endpoint).await;
+    context.fleet.restarted(&endpoint).await;
     tokio::time::sleep(LAST_BYTES_GRACE).await;
     log::info!(
         "event=run_ended endpoint={} why=\"the endpoint restarted\"",
