--- a/src/serving/caller_handler.rs
+++ b/src/serving/caller_handler.rs
@@ -60,7 +60,7 @@
         return refuse_temporarily("no desired state is known yet\n");
     }
     if context.refuses_requests() {
-        return refuse_temporarily("this process is stopping\n");
+        return refuse_temporarily("this process is about to stop\n");
     }
     let host = host_of(&request);
     let path = request.path().to_owned();
--- a/src/serving/item_run.rs
+++ b/src/serving/item_run.rs
@@ -203,7 +203,7 @@
         let item = &job.record.items[self.index];
         let (uri, mut headers) = parse_item(item)?;
         let host = actix_http::header::HeaderValue::try_from(job.record.host.as_str());
-        let host = host.map_err(|e| format!("invalid host of the job: {e}"))?;
+        let host = host.map_err(|e| format!("the host of the job: {e}"))?;
         headers.insert(actix_http::header::HOST, host);
         let wire = &self.context.wire;
         let workspace = job.record.workspace.as_ref();
@@ -378,18 +378,18 @@
 /// Returns an error for anything that cannot be forwarded unchanged, since a request is
 /// never modified.
 pub fn parse_item(item: &wire::JobItem) -> Result<(actix_http::Uri, wire::HeaderMap), String> {
-    let invalid = |what: &str| format!("item {}: invalid {what}", item.id);
+    let invalid = |what: &str| format!("item {}: {what} cannot be sent", item.id);
     let uri = actix_http::Uri::try_from(item.path.as_str());
-    let uri = uri.map_err(|_| invalid("path"))?;
+    let uri = uri.map_err(|_| invalid("its path"))?;
     if !item.path.starts_with('/') {
-        return Err(invalid("path"));
+        return Err(invalid("its path"));
     }
     let mut headers = wire::HeaderMap::new();
     for (name, value) in &item.headers {
         let header = actix_http::header::HeaderName::try_from(name.as_str());
-        let header = header.map_err(|_| invalid("header name"))?;
+        let header = header.map_err(|_| invalid("the name of a header"))?;
         let value = actix_http::header::HeaderValue::try_from(value.as_str());
-        let value = value.map_err(|_| invalid("header value"))?;
+        let value = value.map_err(|_| invalid("the value of a header"))?;
         headers.append(header, value);
     }
     Ok((uri, headers))
--- a/src/serving/job_calls.rs
+++ b/src/serving/job_calls.rs
@@ -42,10 +42,7 @@
     let id = terms.id.as_deref().map(str::parse::<ids::JobId>);
     let scoped = |id| request_admission::scoped_job(&id, workspace.as_ref());
     let Some(Ok(id)) = id.map(|id| id.and_then(scoped)) else {
-        return http_server::plain(
-            StatusCode::BAD_REQUEST,
-            "the job identifier is missing or invalid\n",
-        );
+        return http_server::plain(StatusCode::BAD_REQUEST, "the job has no valid name\n");
     };
     let items = context.wire.job_items(&body).and_then(|items| {
         items
--- a/src/serving/limit_links.rs
+++ b/src/serving/limit_links.rs
@@ -271,7 +271,10 @@
 }
 
 /// Credits the deposit in a gateway's heartbeat, if there is one.
-pub(super) fn credit_deposit(context: &context::ProcessContext, heartbeat: &peers::HeartbeatMessage) {
+pub(super) fn credit_deposit(
+    context: &context::ProcessContext,
+    heartbeat: &peers::HeartbeatMessage,
+) {
     let Some(deposit) = heartbeat.deposit else {
         return;
     };
--- a/src/serving/owners.rs
+++ b/src/serving/owners.rs
@@ -43,9 +43,7 @@
 fn is_emptied(context: &context::ProcessContext, id: &ids::InstanceId) -> bool {
     if id == context.id() {
         let was_retiring = context.retiring.replace(true);
-        return was_retiring
-            && context.jobs.is_drained()
-            && context.permits.borrow().is_empty();
+        return was_retiring && context.jobs.is_drained() && context.permits.borrow().is_empty();
     }
     let is_lost = context.members.borrow().is_lost(id, context.clock.now());
     let is_first = context
--- a/src/serving/peer_calls.rs
+++ b/src/serving/peer_calls.rs
@@ -5,8 +5,8 @@
 use tokio::sync::mpsc;
 
 use super::{
-    context, crash_guard, fleet_sync, job_calls, job_checkpoints, job_records, job_runner, job_supervisor,
-    limit_links, peers, slots,
+    context, crash_guard, fleet_sync, job_calls, job_checkpoints, job_records, job_runner,
+    job_supervisor, limit_links, peers, slots,
 };
 use crate::{decisions::admission, ids, store};
 
--- a/src/serving/permits.rs
+++ b/src/serving/permits.rs
@@ -311,7 +311,8 @@
     /// Returns how many requests may queue at an endpoint if each may wait for `wait`.
     fn max_queued(&self, owned: &OwnedLedger, wait: time::Duration) -> u32 {
         let hold_time = self.hold_times.get(&owned.entry.service).copied();
-        hold_time.unwrap_or_default()
+        hold_time
+            .unwrap_or_default()
             .max_waiting(owned.entry.slots, wait)
     }
 
