--- a/src/serving/connection.rs
+++ b/src/serving/connection.rs
@@ -1,8 +1,8 @@
-//! One connection to an endpoint, and the exchange of one request on it.
+//! A connection to an endpoint, and the exchange of one request on it.
 //!
-//! The codec is the HTTP library's; the socket is our own, as the library's
-//! client hides what matters here: whether a byte went out, whether a body
-//! ended or was cut, and whether bytes came that belong to no request.
+//! The codec is the HTTP library's. The socket is handled here, as the library's client
+//! hides whether any byte was sent, whether a body ended or was truncated, and whether
+//! bytes arrived that belong to no request.
 
 use std::{io, net, time};
 
@@ -10,7 +10,7 @@
 use tokio::io::AsyncReadExt as _;
 use tokio_util::codec::{Decoder as _, Encoder as _};
 
-/// A request as it goes out.
+/// A request to be sent.
 #[derive(Debug)]
 pub struct OutgoingRequest {
     /// Method, path and headers.
@@ -19,14 +19,14 @@
     pub body: bytes::Bytes,
 }
 
-/// Why an exchange gave no head of an answer.
+/// The reason why an exchange failed.
 #[derive(Debug, thiserror::Error)]
 pub enum ExchangeError {
     /// The connection was closed or reset.
     #[error("the connection broke: {0}")]
     Broken(#[from] io::Error),
-    /// What came is no answer.
-    #[error("what came is no answer: {0}")]
+    /// The received bytes are not a valid response.
+    #[error("malformed response: {0}")]
     Malformed(String),
 }
 
@@ -37,24 +37,24 @@
     pub address: net::SocketAddr,
     socket: tokio::net::TcpStream,
     buffer: bytes::BytesMut,
-    /// Whether all of the last request's body went out.
-    sent_whole: bool,
+    /// Whether the last request was sent in full.
+    is_fully_sent: bool,
 }
 
-/// How the body of an answer is framed.
+/// How the body of a response is delimited.
 enum BodyFraming {
-    /// There is none.
+    /// There is no body.
     Empty,
-    /// By a length or in chunks.
-    Coded(h1::ClientPayloadCodec),
-    /// By the end of the connection.
+    /// By `Content-Length` or chunked transfer encoding.
+    Framed(h1::ClientPayloadCodec),
+    /// By the close of the connection.
     UntilClose,
-    /// It ended.
-    Ended,
+    /// The body was read to its end.
+    Finished,
 }
 
-/// The head of an answer, and the connection that brings its body.
-pub struct IncomingAnswer {
+/// The head of a response, and the connection from which its body is read.
+pub struct IncomingResponse {
     /// Status and headers.
     pub head: actix_http::ResponseHead,
     connection: EndpointConnection,
@@ -62,14 +62,14 @@
     keep_alive: bool,
 }
 
-/// First size of the read buffer, in bytes.
-const BUFFER_BYTES: usize = 2048;
+/// Initial size of the read buffer, in bytes.
+const INITIAL_BUFFER_BYTES: usize = 2048;
 
 impl EndpointConnection {
-    /// Connects.
+    /// Opens a connection.
     ///
     /// # Errors
-    /// The connection is refused or not made in time.
+    /// The connection failed or was not established within the timeout.
     pub async fn open(address: net::SocketAddr, timeout: time::Duration) -> io::Result<Self> {
         let connecting = tokio::net::TcpStream::connect(address);
         let socket = match tokio::time::timeout(timeout, connecting).await {
@@ -80,26 +80,26 @@
         Ok(Self {
             address,
             socket,
-            buffer: bytes::BytesMut::with_capacity(BUFFER_BYTES),
-            sent_whole: true,
+            buffer: bytes::BytesMut::with_capacity(INITIAL_BUFFER_BYTES),
+            is_fully_sent: true,
         })
     }
 
-    /// Whether the idle connection is open and nothing came on it.
-    pub fn is_quiet(&self) -> bool {
+    /// Returns whether the idle connection is open and has no unread bytes.
+    pub fn is_reusable(&self) -> bool {
         let mut probe = [0; 1];
         let read = self.socket.try_read(&mut probe);
         matches!(read, Err(e) if e.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Sends a request and reads the head of its answer.
+    /// Sends a request and reads the head of its response.
     ///
     /// # Errors
-    /// The connection broke, or what came is no answer.
+    /// The connection broke, or the response is malformed.
     pub async fn exchange(
         mut self,
         request: OutgoingRequest,
-    ) -> Result<IncomingAnswer, ExchangeError> {
+    ) -> Result<IncomingResponse, ExchangeError> {
         let mut codec = h1::ClientCodec::default();
         let size = actix_http::body::BodySize::Sized(request.body.len() as u64);
         let mut out = bytes::BytesMut::with_capacity(request.body.len() + 512);
@@ -110,7 +110,7 @@
         let head = self.read_head(&mut codec).await?;
         let keep_alive = codec.keep_alive();
         let framing = framing_of(&head, codec);
-        Ok(IncomingAnswer {
+        Ok(IncomingResponse {
             head,
             connection: self,
             framing,
@@ -118,9 +118,9 @@
         })
     }
 
-    /// Writes the request; stops when an answer comes before all of it went out.
+    /// Writes the request; stops early if a response arrives before it is sent in full.
     async fn send(&mut self, mut out: &[u8]) -> io::Result<()> {
-        self.sent_whole = false;
+        self.is_fully_sent = false;
         while !out.is_empty() {
             match self.socket.try_write(out) {
                 Ok(count) => {
@@ -132,16 +132,16 @@
             }
             let interest = tokio::io::Interest::READABLE | tokio::io::Interest::WRITABLE;
             let ready = self.socket.ready(interest).await?;
-            if ready.is_readable() && !self.fill_now()? {
+            if ready.is_readable() && !self.try_fill()? {
                 return Ok(());
             }
         }
-        self.sent_whole = true;
+        self.is_fully_sent = true;
         Ok(())
     }
 
-    /// Reads what is there; says whether nothing was.
-    fn fill_now(&mut self) -> io::Result<bool> {
+    /// Reads the bytes that are available; returns whether there were none.
+    fn try_fill(&mut self) -> io::Result<bool> {
         match self.socket.try_read_buf(&mut self.buffer) {
             Ok(0) => Err(io::ErrorKind::UnexpectedEof.into()),
             Ok(_) => Ok(false),
@@ -173,40 +173,41 @@
     }
 }
 
+/// Determines how the body after a head is delimited.
 fn framing_of(head: &actix_http::ResponseHead, codec: h1::ClientCodec) -> BodyFraming {
     use actix_http::header;
 
     if codec.message_type() != h1::MessageType::None {
-        return BodyFraming::Coded(codec.into_payload_codec());
+        return BodyFraming::Framed(codec.into_payload_codec());
     }
     let headers = head.headers();
-    let bodiless = head.status == StatusCode::NO_CONTENT
+    let is_empty = head.status == StatusCode::NO_CONTENT
         || head.status == StatusCode::NOT_MODIFIED
         || headers.contains_key(header::CONTENT_LENGTH);
-    if bodiless {
+    if is_empty {
         BodyFraming::Empty
     } else {
         BodyFraming::UntilClose
     }
 }
 
-impl IncomingAnswer {
-    /// The next bytes of the body; nothing at its proper end.
+impl IncomingResponse {
+    /// Returns the next bytes of the body, or `None` at its end.
     ///
     /// # Errors
-    /// The body was cut or is malformed.
+    /// The body was truncated or is malformed.
     pub async fn next_bytes(&mut self) -> Result<Option<bytes::Bytes>, ExchangeError> {
         loop {
             match &mut self.framing {
-                BodyFraming::Empty | BodyFraming::Ended => return Ok(None),
+                BodyFraming::Empty | BodyFraming::Finished => return Ok(None),
                 BodyFraming::UntilClose => return self.next_until_close().await,
-                BodyFraming::Coded(codec) => {
+                BodyFraming::Framed(codec) => {
                     let decoded = codec.decode(&mut self.connection.buffer);
                     let decoded = decoded.map_err(|e| ExchangeError::Malformed(e.to_string()))?;
                     match decoded {
                         Some(Some(bytes)) => return Ok(Some(bytes)),
                         Some(None) => {
-                            self.framing = BodyFraming::Ended;
+                            self.framing = BodyFraming::Finished;
                             return Ok(None);
                         }
                         None => self.connection.fill().await?,
@@ -220,23 +221,23 @@
         self.keep_alive = false;
         let connection = &mut self.connection;
         if connection.buffer.is_empty() {
-            // A reset is an error here; only an orderly end is the end of the body.
+            // A reset is an error: only an orderly close ends the body.
             let count = connection.socket.read_buf(&mut connection.buffer).await?;
             if count == 0 {
-                self.framing = BodyFraming::Ended;
+                self.framing = BodyFraming::Finished;
                 return Ok(None);
             }
         }
         Ok(Some(connection.buffer.split().freeze()))
     }
 
-    /// The connection, if another request may go out on it.
+    /// Returns the connection if it can be reused for another request.
     ///
-    /// Not after an answer that came before the request was read, a body that
-    /// did not end, or bytes behind it that belong to no request.
+    /// It can't if the response came before the request was sent in full, if the body was
+    /// not read to its end, or if bytes follow that belong to no request.
     pub fn into_connection(self) -> Option<EndpointConnection> {
-        let ended = matches!(self.framing, BodyFraming::Empty | BodyFraming::Ended);
-        let clean = self.connection.sent_whole && self.connection.buffer.is_empty();
-        (ended && clean && self.keep_alive).then_some(self.connection)
+        let is_finished = matches!(self.framing, BodyFraming::Empty | BodyFraming::Finished);
+        let is_clean = self.connection.is_fully_sent && self.connection.buffer.is_empty();
+        (is_finished && is_clean && self.keep_alive).then_some(self.connection)
     }
 }
--- a/src/serving/listener.rs
+++ b/src/serving/listener.rs
@@ -1,4 +1,4 @@
-//! The listener for callers: one task a connection, bounded in number.
+//! The listener for callers: one task per connection, limited in number.
 
 use std::{cell, convert, io, net, rc, time};
 
@@ -7,23 +7,28 @@
 use super::{caller_handler, caller_socket, context};
 use crate::protection;
 
-/// Connections of callers at once; further ones wait in the system's queue.
+/// Maximum number of open caller connections; further ones wait in the kernel's backlog.
 ///
-/// Half of the smallest instance's 4,100 descriptors; the rest serves endpoints and peers.
+/// About half of the 4,100 descriptors of the smallest instance; the others are for
+/// endpoints and peers.
 const MAX_CONNECTIONS: usize = 2000;
-/// Pause after an accept that failed, as when descriptors have run out.
-const ACCEPT_PAUSE: time::Duration = time::Duration::from_millis(50);
-/// How long an idle connection of a caller is kept. Above the longest idle
-/// limit of a desired state, so that no request crosses the close.
+/// Delay after a failed accept, such as one without free descriptors.
+const ACCEPT_RETRY_DELAY: time::Duration = time::Duration::from_millis(50);
+/// Idle timeout of a caller's connection.
+///
+/// Longer than the longest idle limit in a desired state, so that the caller closes first
+/// and no request is in transit when the connection closes.
 const KEEP_ALIVE: time::Duration = time::Duration::from_secs(20);
-/// Longest wait for a request's head.
+/// Timeout for reading the head of a request.
 const HEAD_TIMEOUT: time::Duration = time::Duration::from_secs(3);
-/// Longest queue of new connections in the system.
+/// Length of the kernel's backlog of new connections.
 const BACKLOG: u32 = 1024;
-/// Largest write to a caller, in bytes: small, as a slow reader holds this much.
-const WRITE_BUFFER: usize = 16 << 10;
+/// Size of the write buffer of a caller's connection, in bytes.
+///
+/// Small, as each slow reader occupies this much memory.
+const WRITE_BUFFER_BYTES: usize = 16 << 10;
 
-/// Binds an address; one that was just in use may be used again.
+/// Binds an address with `SO_REUSEADDR`, so that a restart doesn't wait for old connections.
 ///
 /// # Errors
 /// The address cannot be bound.
@@ -37,32 +42,32 @@
     socket.listen(BACKLOG)
 }
 
-/// The next connection; nothing after a failure.
+/// Accepts the next connection; returns `None` after a failure, which it logs.
 pub async fn accept(listener: &tokio::net::TcpListener) -> Option<tokio::net::TcpStream> {
     match listener.accept().await {
         Ok((socket, _)) => Some(socket),
         Err(e) => {
             log::warn!("event=accept_failed why=\"{e}\"");
-            actix_rt::time::sleep(ACCEPT_PAUSE).await;
+            actix_rt::time::sleep(ACCEPT_RETRY_DELAY).await;
             None
         }
     }
 }
 
-/// Counts an open connection until it is dropped.
+/// Guard that counts an open connection until it is dropped.
 struct OpenConnection {
     count: rc::Rc<cell::Cell<usize>>,
-    freed: rc::Rc<tokio::sync::Notify>,
+    closed: rc::Rc<tokio::sync::Notify>,
 }
 
 impl Drop for OpenConnection {
     fn drop(&mut self) {
         self.count.set(self.count.get() - 1);
-        self.freed.notify_one();
+        self.closed.notify_one();
     }
 }
 
-/// Serves callers, if the process does.
+/// Starts to serve callers if the process has an address for them.
 ///
 /// # Errors
 /// The address cannot be bound.
@@ -73,15 +78,15 @@
     let listener = bind(address)?;
     let context = context.clone();
     actix_rt::spawn(async move {
-        let waiting = context.waiting_answers.clone();
+        let waiting = context.unsent_responses.clone();
         let handler = caller_handler::CallerHandler::new(context);
         let service = actix_http::HttpService::build()
             .client_request_timeout(HEAD_TIMEOUT)
             .client_disconnect_timeout(time::Duration::from_secs(1))
             .keep_alive(KEEP_ALIVE)
-            // A caller that closes is seen at once, also while it waits.
+            // Detects at once that a caller closes its connection while it waits for a response.
             .h1_allow_half_closed(protection::is_disabled("caller_close"))
-            .h1_write_buffer_size(WRITE_BUFFER)
+            .h1_write_buffer_size(WRITE_BUFFER_BYTES)
             .finish(move |request: actix_http::Request| {
                 let response = handler.handle(request);
                 async move { Ok::<_, convert::Infallible>(response.await) }
@@ -112,10 +117,10 @@
     F: std::future::Future<Output = ()> + 'static,
 {
     let count = rc::Rc::new(cell::Cell::new(0_usize));
-    let freed = rc::Rc::new(tokio::sync::Notify::new());
+    let closed = rc::Rc::new(tokio::sync::Notify::new());
     loop {
         if count.get() >= MAX_CONNECTIONS {
-            freed.notified().await;
+            closed.notified().await;
             continue;
         }
         let Some(socket) = accept(listener).await else {
@@ -125,14 +130,14 @@
             log::debug!("event=caller_socket why=\"{e}\"");
         }
         count.set(count.get() + 1);
-        let open = OpenConnection {
+        let guard = OpenConnection {
             count: count.clone(),
-            freed: freed.clone(),
+            closed: closed.clone(),
         };
         let serving = serve(socket);
         actix_rt::spawn(async move {
             serving.await;
-            drop(open);
+            drop(guard);
         });
     }
 }
--- a/src/serving/mod.rs
+++ b/src/serving/mod.rs
@@ -1,16 +1,16 @@
-//! Serving by routes: opaque requests, streams and batch jobs through a desired state.
+//! Serving of opaque requests, streams and batch jobs by the routes of a desired state.
 //!
-//! Where [`crate::gateway`] speaks the OpenAI interface, this part forwards
-//! requests as they come, by host and path. The words on the wire, the store
-//! and the source of the desired state are borders: [`wire`], [`crate::store`]
-//! and [`fleet_source`]. An adapter crate brings their implementations.
+//! While [`crate::gateway`] implements the OpenAI API, this module forwards requests
+//! unchanged, by host and path. The wire format, the store and the source of the desired
+//! state are interfaces, [`wire`], [`crate::store`] and [`fleet_source`], that an adapter
+//! crate implements.
 //!
-//! All of it runs on one thread of a process: an instance has one core, and a
-//! hop between threads costs more than the work of a small request.
+//! A process runs all of it on one thread: an instance has one core, and a hop between
+//! threads costs more than the work of a small request.
 
-pub mod answer_copy;
 pub mod attempt;
 pub mod attempt_flow;
+pub mod borrowed_slots;
 pub mod caller_handler;
 mod caller_socket;
 pub mod checkpoint_file;
@@ -25,16 +25,16 @@
 pub mod event_split;
 pub mod fleet_model;
 pub mod fleet_source;
+pub mod fleet_sync;
 pub mod item_run;
 pub mod job_acceptance;
-pub mod job_board;
 pub mod job_calls;
 pub mod job_checkpoints;
 pub mod job_records;
 pub mod job_runner;
-pub mod job_sponsor;
+pub mod job_supervisor;
+pub mod job_table;
 pub mod job_upkeep;
-pub mod lent_slots;
 mod limit_links;
 pub mod listener;
 pub mod members;
@@ -51,8 +51,9 @@
 pub mod ready_items;
 pub mod relay;
 mod request_admission;
+pub mod response_copy;
 pub mod route_table;
-pub mod search_pace;
+pub mod search_backoff;
 pub mod selection;
 pub mod single_flight;
 pub mod slots;
@@ -60,6 +61,5 @@
 pub mod state_snapshot;
 pub mod state_transfer;
 mod suspension;
-pub mod views;
 pub mod wire;
 pub mod workspaces;
--- a/src/serving/owners.rs
+++ b/src/serving/owners.rs
@@ -1,48 +1,49 @@
-//! Works out who owns endpoints and jobs, and looks at all that has an age.
+//! Computes the owners of endpoints and jobs, and expires outdated state periodically.
 
 use std::{collections, rc, time};
 
 use super::{context, crash_guard, job_checkpoints, limit_links, members};
 use crate::{clock, decisions::ownership, ids};
 
-/// How often views with an age are looked at.
-const TICK: time::Duration = time::Duration::from_millis(50);
+/// Interval between two checks for outdated state.
+const TICK_INTERVAL: time::Duration = time::Duration::from_millis(50);
 
-/// How often orders to empty an instance are looked at; also the least time in
-/// which the peers learn that it is leaving.
-const ORDER_LOOK: time::Duration = time::Duration::from_millis(600);
+/// Interval between two checks of the orders to empty an instance.
+///
+/// Also the minimum time that the peers have to learn that it is draining.
+const ORDER_POLL_INTERVAL: time::Duration = time::Duration::from_millis(600);
 
-/// Time after its start before a gateway may own anything.
+/// Time after the start of a gateway during which it owns nothing.
 const SETTLE_TIME: time::Duration = time::Duration::from_secs(3);
 
-/// Ticks between two sweeps of idle connections.
+/// Number of ticks between two sweeps of idle connections and expired entries.
 const SWEEP_TICKS: u32 = 20;
 
-/// Empties this instance when it is asked to, and answers for instances that are gone.
+/// Empties this instance when ordered to, and reports lost instances as emptied.
 pub(super) async fn follow_orders(context: rc::Rc<context::ProcessContext>) {
-    let mut answered = collections::BTreeSet::new();
+    let mut reported = collections::BTreeSet::new();
     loop {
-        actix_rt::time::sleep(ORDER_LOOK).await;
+        actix_rt::time::sleep(ORDER_POLL_INTERVAL).await;
         for id in context.fleet.retiring() {
-            if answered.contains(&id) {
+            if reported.contains(&id) {
                 continue;
             }
             if is_emptied(&context, &id) && context.source.report_emptied(id.clone()).await {
                 log::info!("event=retirement_answered instance={id}");
-                answered.insert(id);
+                reported.insert(id);
             }
         }
     }
 }
 
-/// Whether an instance that is to be emptied holds nothing that is needed.
+/// Returns whether an instance that is to be emptied has no active work left.
 ///
-/// What lasts is in the store, so only work under way counts. For an instance
-/// that does not answer any more, the first of the owners speaks.
+/// Durable state is in the store, so only active work counts. For a lost instance, the
+/// first of the owners decides.
 fn is_emptied(context: &context::ProcessContext, id: &ids::InstanceId) -> bool {
     if id == context.id() {
-        let told = context.retiring.replace(true);
-        return told && context.jobs.is_handed_back() && context.permits.borrow().is_empty();
+        let was_retiring = context.retiring.replace(true);
+        return was_retiring && context.jobs.is_drained() && context.permits.borrow().is_empty();
     }
     let is_lost = context.members.borrow().is_lost(id, context.clock.now());
     let is_first = context
@@ -52,7 +53,8 @@
     is_lost && is_first && is_settled(context)
 }
 
-/// Looks at what has an age: owners, expired entries, idle connections, permits.
+/// Refreshes the owners and expires directory entries, idle connections and permits, until
+/// the process stops.
 pub(super) async fn tick(context: rc::Rc<context::ProcessContext>) {
     let mut changes = context.fleet.subscribe();
     let mut ticks = 0_u32;
@@ -74,14 +76,15 @@
             context.loads.borrow_mut().retain(listed);
         }
         tokio::select! {
-            () = actix_rt::time::sleep(TICK) => {}
+            () = actix_rt::time::sleep(TICK_INTERVAL) => {}
             changed = changes.changed() => if changed.is_err() { return },
         }
     }
 }
 
-/// Forgets what was learned of runs of endpoints that ended, as they started again:
-/// the new run has no requests, and no connection of the old one brings anything.
+/// Discards loads, health and connections of endpoints that have restarted.
+///
+/// The new run has no requests yet, and connections to the old one are dead.
 fn forget_ended_runs(context: &context::ProcessContext) {
     let ended = context.fleet.directory.borrow_mut().take_ended_runs();
     for run in ended {
@@ -91,24 +94,27 @@
             run.address
         );
         context.loads.borrow_mut().forget(&run.id);
-        context.pool.forget(run.address);
+        context.pool.close_idle(run.address);
     }
 }
 
-/// Whether this process follows the store: the first few owners do, and any
-/// that hears none who does.
+/// Returns whether this process follows the store.
+///
+/// The first few owners do, as does any process that receives no heartbeats from one that
+/// follows it.
 fn is_follower(context: &context::ProcessContext, now: clock::MonotonicTime) -> bool {
     let owners = context.owners();
-    let mut first = owners.iter().take(members::FOLLOWERS);
-    first.any(|o| o.id == *context.id()) || !context.members.borrow().hears_follower(now)
+    let mut first = owners.iter().take(members::STORE_FOLLOWERS);
+    first.any(|o| o.id == *context.id()) || !context.members.borrow().has_live_follower(now)
 }
 
-/// Whether the process runs for long enough to have heard its live peers.
+/// Returns whether the process has run for long enough to have received heartbeats from
+/// all live peers.
 fn is_settled(context: &context::ProcessContext) -> bool {
     context.age() > SETTLE_TIME
 }
 
-/// Ends places that nobody gave back for longer than any request may take.
+/// Releases slots that were held for longer than any request may take.
 fn expire_permits(context: &context::ProcessContext, now: clock::MonotonicTime) {
     let expired = context.permits.borrow_mut().expire(now);
     for (endpoint, holder) in &expired {
@@ -119,8 +125,8 @@
     }
 }
 
-/// Ends what processes hold that have not been heard for a while, or held before they
-/// started again.
+/// Releases what is held by processes that sent no heartbeat for a while, or by earlier
+/// runs of processes that have restarted.
 pub(super) fn release_ended(context: &context::ProcessContext) {
     let now = context.clock.now();
     let members = context.members.borrow();
@@ -128,17 +134,17 @@
         |holder: &ids::InstanceRun| *holder != context.run && members.has_ended(holder, now);
     let released = context.permits.borrow_mut().release_ended(has_ended);
     if released > 0 {
-        log::info!("event=places_released count={released} why=\"their holders ended\"");
+        log::info!("event=places_released count={released} why=\"the holders ended\"");
         context.jobs.work.notify_one();
     }
 }
 
-/// Works out who owns what, and tells the parts that hang on it.
+/// Recomputes the owners, and updates or notifies the tasks that depend on them.
 pub(super) fn refresh_owners(context: &rc::Rc<context::ProcessContext>) {
     let now = context.clock.now();
     let own = (!context.is_leaving()).then_some(&context.options.member);
-    // A gateway that has just started has not heard the dispatchers yet, or
-    // knows of none as the store was away: it would run all their jobs again.
+    // A gateway that has just started has no heartbeats of the dispatchers yet, or does not
+    // know them as the store was unreachable: it would run all their jobs again.
     let may_own = is_settled(context) && context.members_known.get();
     let own = own.filter(|m| m.role == members::MemberRole::Dispatcher || may_own);
     let owners = context.members.borrow().owners(own, now);
@@ -154,19 +160,19 @@
         }
         *context.owners.borrow_mut() = rc::Rc::new(owners);
     }
-    limit_links::follow_keepers(context);
-    context.fleet.set_follows(is_follower(context, now));
+    limit_links::update_quota_servers(context);
+    context.fleet.set_follows_store(is_follower(context, now));
     let change_number = Some(context.fleet.change_number());
-    if context.owned_at.replace(change_number) != change_number || changed {
+    if context.owned_change_number.replace(change_number) != change_number || changed {
         refresh_owned(context);
     }
     if changed {
-        job_checkpoints::hand_over_moved(context);
+        job_checkpoints::hand_off_moved(context);
         context.jobs.owners_changed.notify_one();
     }
 }
 
-/// Works out which endpoints this process owns, from all that are listed.
+/// Recomputes which of the listed endpoints this process owns.
 fn refresh_owned(context: &rc::Rc<context::ProcessContext>) {
     let directory = context.fleet.directory.borrow();
     let owners = context.owners();
@@ -175,13 +181,13 @@
         owner.is_some_and(|o| o.id == *context.id())
     });
     let owned: Vec<_> = owned.cloned().collect();
-    let doubtful = directory.doubtful().clone();
+    let unverified = directory.unverified().clone();
     drop(directory);
     let mut permits = context.permits.borrow_mut();
-    permits.set_doubtful(doubtful);
-    let gone = permits.set_owned(&owned);
+    permits.set_unverified(unverified);
+    let dropped = permits.set_owned(&owned);
     drop(permits);
-    for endpoint in &gone {
+    for endpoint in &dropped {
         context.jobs.preempt_owned(endpoint);
     }
     context.jobs.work.notify_one();
--- a/src/serving/peer_calls.rs
+++ b/src/serving/peer_calls.rs
@@ -1,39 +1,39 @@
-//! Answers the calls of peers.
+//! Handles the calls of peers.
 
 use std::rc;
 
 use tokio::sync::mpsc;
 
 use super::{
-    context, crash_guard, job_calls, job_checkpoints, job_records, job_runner, job_sponsor,
-    limit_links, peers, slots, views,
+    context, crash_guard, fleet_sync, job_calls, job_checkpoints, job_records, job_runner,
+    job_supervisor, limit_links, peers, slots,
 };
 use crate::{decisions::admission, ids, store};
 
-/// Answers the calls of peers.
+/// Handles the calls of peers.
 pub(super) async fn serve_peers(
     context: rc::Rc<context::ProcessContext>,
     mut calls: mpsc::Receiver<peers::PeerCall>,
 ) {
     while let Some(call) = calls.recv().await {
-        answer_peer(&context, call);
+        handle_call(&context, call);
     }
 }
 
-/// Gives an answer to a caller that may have gone.
+/// Sends a response to a caller that may have disconnected.
 fn reply<T>(sender: tokio::sync::oneshot::Sender<T>, value: T) {
     if sender.send(value).is_err() {
         log::debug!("event=peer_left_before_answer");
     }
 }
 
-fn answer_peer(context: &rc::Rc<context::ProcessContext>, call: peers::PeerCall) {
+fn handle_call(context: &rc::Rc<context::ProcessContext>, call: peers::PeerCall) {
     use peers::PeerCall as C;
 
     match call {
-        C::Probe(hello, sender) => {
-            views::take_probe(context, &hello);
-            reply(sender, context.hello());
+        C::Probe(heartbeat, sender) => {
+            fleet_sync::receive_probe(context, &heartbeat);
+            reply(sender, context.heartbeat());
         }
         C::Acquire(request, sender) => {
             let is_owner = context.owners().iter().any(|o| o.id == *context.id());
@@ -48,22 +48,22 @@
             });
         }
         C::Release(ended) => release(context, ended),
-        C::Report(report) => take_report(context, &report),
+        C::Report(report) => apply_report(context, &report),
         C::CrashUpdate(update) => {
-            crash_guard::take(context, update);
+            crash_guard::apply_update(context, update);
         }
-        C::Crashes(sender) => reply(sender, context.crashes.copy(context.clock.now())),
+        C::Crashes(sender) => reply(sender, context.crashes.updates(context.clock.now())),
         C::StatePart(request, sender) => {
             let table = context.fleet.table();
             if !table.is_known() {
                 return;
             }
-            match context.state_transfer.shelf.part(request, table.state()) {
+            match context.state_transfer.cache.part(request, table.state()) {
                 Ok(part) => reply(sender, part),
                 Err(e) => log::warn!("event=state_untold why=\"{e}\""),
             }
         }
-        C::Endpoints(sender) => reply(sender, context.fleet.copy()),
+        C::Endpoints(sender) => reply(sender, context.fleet.snapshot()),
         C::Members(sender) => {
             let members = context.members.borrow();
             let own = [&context.options.member];
@@ -71,12 +71,12 @@
             drop(members);
             reply(sender, records);
         }
-        C::TakeJob(record, sender) => reply(sender, job_runner::take_job(context, record)),
+        C::TakeJob(record, sender) => reply(sender, job_runner::adopt_job(context, record)),
         C::FindJob(job, sender) => {
-            reply(sender, job_runner::find_job(context, job));
+            reply(sender, job_runner::adopt_stored_job(context, job));
         }
         C::KeepProgress(part, sender) => {
-            reply(sender, job_checkpoints::take_part(context, part));
+            reply(sender, job_checkpoints::receive_part(context, part));
         }
         C::ReadResults(request, sender) => {
             let context = context.clone();
@@ -107,7 +107,7 @@
                 let written = job_records::accept(context.store.as_ref(), &record).await;
                 reply(sender, write_outcome(&written));
                 if written.is_ok() {
-                    job_sponsor::sponsor(&context, rc::Rc::new(record));
+                    job_supervisor::supervise(&context, rc::Rc::new(record));
                 }
             });
         }
@@ -129,14 +129,14 @@
                 let written = job_records::end(context.store.as_ref(), &job).await;
                 reply(sender, write_outcome(&written));
                 if written.is_ok() {
-                    job_calls::tell_end(&context, &job);
+                    job_calls::notify_end(&context, &job);
                 }
             });
         }
     }
 }
 
-/// What a write to the store came to, for a peer.
+/// Converts the result of a write to the store for a peer.
 fn write_outcome(written: &store::StoreResult<()>) -> peers::WriteOutcome {
     match written {
         Ok(()) => peers::WriteOutcome::Written,
@@ -147,7 +147,7 @@
     }
 }
 
-/// Lends places of batch streams at owned endpoints.
+/// Lends batch slots at owned endpoints.
 fn lend(
     context: &context::ProcessContext,
     request: &peers::BatchSlotRequest,
@@ -157,22 +157,22 @@
     }
     let now = context.clock.now();
     let mut permits = context.permits.borrow_mut();
-    let shunned = permits.shunned(&context.loads.borrow(), now);
-    let lent = permits.lend_batch(request, &shunned, now);
+    let ejected = permits.ejected(&context.loads.borrow(), now);
+    let lent = permits.lend_batch(request, &ejected, now);
     let lent = lent.into_iter();
     let slots = lent.map(|(endpoint, number)| peers::BorrowedSlot { endpoint, number });
     slots.collect()
 }
 
-/// Gives a place at an owned endpoint, and takes batch streams back for it.
+/// Grants a slot at an owned endpoint, preempting batch streams if necessary.
 pub fn grant(
     context: &rc::Rc<context::ProcessContext>,
     request: &peers::OnlineSlotRequest,
 ) -> peers::OnlineSlotResponse {
     let now = context.clock.now();
     let mut permits = context.permits.borrow_mut();
-    let shunned = permits.shunned(&context.loads.borrow(), now);
-    let granted = permits.acquire(request, &shunned, now);
+    let ejected = permits.ejected(&context.loads.borrow(), now);
+    let granted = permits.acquire(request, &ejected, now);
     let owns = permits.owns(&request.service);
     let free_slots = permits.free_online_slots(&request.service);
     let free_queue_slots = permits.free_queue_slots(&request.service, request.wait);
@@ -200,7 +200,7 @@
     }
 }
 
-/// Takes a batch stream back, of this process or of the peer that runs it.
+/// Preempts a batch stream that runs here or at the borrower of the slot.
 fn preempt(
     context: &context::ProcessContext,
     endpoint: &ids::EndpointId,
@@ -220,7 +220,8 @@
     }
 }
 
-/// Takes a place back; batch work may use it.
+/// Releases a slot, which batch work may then use. A release of a relayed permit is
+/// forwarded to the owner.
 pub fn release(context: &context::ProcessContext, ended: peers::SlotRelease) {
     let mut permits = context.permits.borrow_mut();
     let released = match ended.is_served {
@@ -231,19 +232,19 @@
     if let Some(endpoint) = released {
         if ended.is_served {
             context.loads.borrow_mut().record_served(&endpoint);
-            context.fleet.record_named(&endpoint);
+            context.fleet.record_verified(&endpoint);
         }
         context.jobs.work.notify_one();
         return;
     }
-    let relayed = context.relayed.borrow_mut().pop(&ended.number);
+    let relayed = context.relayed_slots.borrow_mut().pop(&ended.number);
     if let Some(owner) = relayed {
         context.links.release(owner, ended);
     }
 }
 
-/// Takes what a holder of a place saw at an endpoint.
-pub fn take_report(context: &context::ProcessContext, report: &peers::EndpointReport) {
+/// Applies an observation that the holder of a slot reported.
+pub fn apply_report(context: &context::ProcessContext, report: &peers::EndpointReport) {
     let peers::EndpointReport {
         endpoint,
         started,
@@ -271,6 +272,8 @@
         peers::EndpointObservation::Full => {
             context.permits.borrow_mut().record_refused(endpoint, now)
         }
-        peers::EndpointObservation::Misnamed => context.fleet.record_misnamed(endpoint, *started),
+        peers::EndpointObservation::Misnamed => {
+            context.fleet.record_misidentified(endpoint, *started)
+        }
     }
 }
--- a/src/serving/permits.rs
+++ b/src/serving/permits.rs
@@ -1,5 +1,5 @@
-//! Places at the endpoints that this process owns: online requests by permit,
-//! batch streams in what they leave.
+//! Slots at the endpoints that this process owns: permits for online requests, and batch
+//! streams in the slots that these leave free.
 
 use std::{collections, fmt, num, rc, time};
 
@@ -10,54 +10,57 @@
     ids,
 };
 
-/// Longest life of a permit that is not released; above the longest request's time limit.
+/// TTL of a permit that is not released; longer than the longest request timeout.
 pub(super) const PERMIT_TTL: time::Duration = time::Duration::from_secs(15);
-/// Permits given back before they were asked for that are remembered: those of a second
-/// in which an owner stood still, at some hundred requests a second.
-const MAX_RETURNED: num::NonZeroUsize = num::NonZeroUsize::new(1024).expect("it is not zero");
-/// Places that batch work leaves free at each endpoint.
+/// Maximum number of remembered releases that arrived before their request.
 ///
-/// The next online request finds one without a cancellation; streams are
-/// taken back for the others.
+/// Covers an owner that was suspended for a second at some hundred requests a second.
+const MAX_EARLY_RELEASES: num::NonZeroUsize = num::NonZeroUsize::new(1024).expect("it is not zero");
+/// Number of slots that batch work leaves free at each endpoint.
+///
+/// The next online request gets one without a cancellation; for further ones, batch
+/// streams are preempted.
 const HEADROOM: u32 = 1;
 
-/// How long an endpoint gives no places that refused, as it is full, though its ledger
-/// has room: work that its owner does not know of is there, or slots were taken from
-/// it. It refuses within a round trip and then looks free, so without a pause it is
+/// Backoff of an endpoint that refused a request as full although its ledger shows a free
+/// slot.
+///
+/// Such an endpoint has work that its owner does not know of, or fewer slots than before.
+/// It refuses within a round trip and then appears free, so without a backoff it would be
 /// chosen again at once.
 ///
-/// Requests last about half a second, so that of eight slots one is free again each
-/// 60 ms. The work of an owner that was lost is gone after a few seconds, and an
-/// endpoint that has room must not stand idle for longer than a request lasts.
-const REFUSAL_PAUSES: endpoint_backoff::BackoffRange = endpoint_backoff::BackoffRange {
+/// Requests last about half a second, so one of eight slots becomes free about every
+/// 60 ms. The work of a lost owner ends after a few seconds, and an endpoint with free
+/// slots must not be idle for longer than a request lasts.
+const REFUSAL_BACKOFF: endpoint_backoff::BackoffRange = endpoint_backoff::BackoffRange {
     first: time::Duration::from_millis(60),
     last: time::Duration::from_millis(960),
     spread: 0.3,
 };
 
-/// A place for an online request.
+/// A slot granted to an online request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct GrantedSlot {
     /// The endpoint.
     pub endpoint: ids::EndpointId,
-    /// Batch streams there that have to go for it.
+    /// Batch streams at the endpoint that must be cancelled for it.
     pub preempted: Vec<admission::StreamNumber>,
 }
 
-/// Why a service has no place for a request: what stands in the way at its endpoints.
+/// Diagnosis of a denied request: the state of the service's endpoints at this owner.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct SlotDenial {
-    /// Owned endpoints of the service.
+    /// Number of owned endpoints of the service.
     pub endpoints: usize,
-    /// Those that the asker does not want.
-    pub unwanted: usize,
-    /// Those that refused lately, or are not known to be there.
-    pub closed: usize,
-    /// Online requests that have places at them.
+    /// Number of these that the request excludes.
+    pub excluded: usize,
+    /// Number of these that are backed off after a refusal, or are unverified and in use.
+    pub unavailable: usize,
+    /// Number of online requests that hold slots at them.
     pub online: u32,
-    /// Processes that hold these places.
+    /// Number of processes that hold these slots.
     pub holders: usize,
-    /// How long the oldest place has been held.
+    /// Age of the oldest held slot.
     pub oldest: time::Duration,
 }
 
@@ -67,8 +70,8 @@
             f,
             "endpoints={} unwanted={} closed={} online={} holders={} oldest_ms={}",
             self.endpoints,
-            self.unwanted,
-            self.closed,
+            self.excluded,
+            self.unavailable,
             self.online,
             self.holders,
             self.oldest.as_millis(),
@@ -76,46 +79,47 @@
     }
 }
 
-/// Where a permit was given, and to whom.
+/// The endpoint and the holder of a permit.
 #[derive(Debug, Clone)]
 struct PermitHolder {
     endpoint: ids::EndpointId,
     holder: ids::InstanceRun,
     expiry: clock::MonotonicTime,
-    /// When it was given, if a slot was free then.
-    begun: Option<clock::MonotonicTime>,
+    /// When it was granted; `None` if the request had to queue at the endpoint.
+    granted_at: Option<clock::MonotonicTime>,
 }
 
-/// Who has a slot for a batch stream of another instance.
+/// The borrower of a slot for a batch stream.
 #[derive(Debug, Clone)]
 struct SlotBorrower {
     holder: ids::InstanceRun,
-    /// Number of the question that it was lent to.
+    /// Number of the request by which it was borrowed.
     request: u64,
 }
 
-/// The ledgers of the owned endpoints.
+/// The ledgers of the owned endpoints, with the holders of their slots.
 ///
 /// Invariant: each permit of `holders` is in the ledger of its endpoint.
 #[derive(Debug)]
-pub struct PermitBoard {
+pub struct PermitTable {
     ledgers: collections::HashMap<ids::EndpointId, OwnedLedger>,
     holders: collections::HashMap<admission::PermitNumber, PermitHolder>,
-    /// Batch streams that other instances run here.
-    lent: collections::HashMap<(ids::EndpointId, admission::StreamNumber), SlotBorrower>,
-    /// How long online requests of a service hold a slot.
-    holds: collections::HashMap<ids::ServiceName, queue_limit::HoldTimeEstimate>,
-    /// Permits, and questions for slots, that were given back and not known.
+    /// Batch streams that other instances run in borrowed slots.
+    borrowed: collections::HashMap<(ids::EndpointId, admission::StreamNumber), SlotBorrower>,
+    /// Estimates of how long online requests of a service hold a slot.
+    hold_times: collections::HashMap<ids::ServiceName, queue_limit::HoldTimeEstimate>,
+    /// Numbers of permits and of batch requests that were released before they arrived.
     ///
-    /// An owner that stood still may read what came on a newer link first: the word that
-    /// nobody waits for a place any more, and then the request for it.
-    returned: lru::LruCache<admission::PermitNumber, ()>,
-    /// Endpoints that refused lately.
+    /// An owner that was suspended may read a newer link first, and so receive the release
+    /// of a slot before the request for it.
+    early_releases: lru::LruCache<admission::PermitNumber, ()>,
+    /// Endpoints that are backed off after a refusal.
     refusals: endpoint_backoff::EndpointBackoff,
-    /// Endpoints that give one place at a time, until they are known to be there.
-    doubtful: collections::HashSet<ids::EndpointId>,
+    /// Endpoints whose identity is not confirmed; each gets one request at a time until then.
+    unverified: collections::HashSet<ids::EndpointId>,
 }
 
+/// An owned endpoint and the ledger of its slots.
 #[derive(Debug)]
 struct OwnedLedger {
     entry: rc::Rc<directory::EndpointEntry>,
@@ -124,41 +128,43 @@
 
 impl OwnedLedger {
     fn new(entry: &rc::Rc<directory::EndpointEntry>) -> Self {
-        let mut ledger = admission::EndpointLedger::new(spec_of(entry));
-        ledger.number_after(u64::from(rand::random::<u32>()) << 16);
+        let mut ledger = admission::EndpointLedger::new(admission_spec(entry));
+        ledger.number_streams_after(u64::from(rand::random::<u32>()) << 16);
         Self {
             entry: entry.clone(),
             ledger,
         }
     }
 
-    /// Places that an online request could have now, those of batch streams included.
+    /// Returns the number of slots for online requests, including those of batch streams.
     fn free_online_slots(&self) -> u32 {
         self.entry.slots.saturating_sub(self.ledger.online())
     }
 
-    /// Places in the endpoint's queue that an online request could have now,
-    /// if so many may wait.
+    /// Returns how many more requests may queue at the endpoint if `queue` may in total.
     fn free_queue_slots(&self, queue: u32) -> u32 {
-        let most = self.entry.slots + queue;
-        most.saturating_sub(self.ledger.online().max(self.entry.slots))
+        let limit = self.entry.slots + queue;
+        limit.saturating_sub(self.ledger.online().max(self.entry.slots))
     }
 
+    /// Returns whether any slot is held.
     fn is_held(&self) -> bool {
         self.ledger.online() + self.ledger.batch() > 0
     }
 
-    fn free(&self) -> i64 {
+    /// Returns the number of unused slots; negative while requests queue.
+    fn spare_slots(&self) -> i64 {
         let held = self.ledger.online() + self.ledger.batch();
         i64::from(self.entry.slots) - i64::from(held)
     }
 }
 
-fn spec_of(entry: &directory::EndpointEntry) -> admission::AdmissionSpec {
+fn admission_spec(entry: &directory::EndpointEntry) -> admission::AdmissionSpec {
     admission::AdmissionSpec {
         policy: admission::BatchPolicy::FixedPreempt,
         max_sequences: entry.slots,
-        // What may wait beyond hangs on the objective of each request.
+        // The length of the queue depends on the objective of each request, and is
+        // checked in `acquire`.
         max_online: u32::MAX,
         fixed_streams: entry.slots,
         permit_ttl: PERMIT_TTL,
@@ -168,40 +174,42 @@
     }
 }
 
-impl Default for PermitBoard {
+impl Default for PermitTable {
     fn default() -> Self {
         Self {
             ledgers: collections::HashMap::new(),
             holders: collections::HashMap::new(),
-            lent: collections::HashMap::new(),
-            holds: collections::HashMap::new(),
-            returned: lru::LruCache::new(MAX_RETURNED),
-            refusals: endpoint_backoff::EndpointBackoff::new(REFUSAL_PAUSES),
-            doubtful: collections::HashSet::new(),
+            borrowed: collections::HashMap::new(),
+            hold_times: collections::HashMap::new(),
+            early_releases: lru::LruCache::new(MAX_EARLY_RELEASES),
+            refusals: endpoint_backoff::EndpointBackoff::new(REFUSAL_BACKOFF),
+            unverified: collections::HashSet::new(),
         }
     }
 }
 
-impl PermitBoard {
-    /// Takes the list of owned endpoints; gives those that are owned no more, and
-    /// those that started again: what they had is gone.
+impl PermitTable {
+    /// Replaces the list of owned endpoints.
+    ///
+    /// Returns the endpoints that are no longer owned or have restarted; their permits and
+    /// streams are dropped.
     pub fn set_owned(
         &mut self,
         owned: &[rc::Rc<directory::EndpointEntry>],
     ) -> Vec<ids::EndpointId> {
         let listed: collections::HashMap<_, _> = owned.iter().map(|e| (&e.id, e.started)).collect();
-        let is_gone = |(id, owned): &(&ids::EndpointId, &OwnedLedger)| {
+        let is_dropped = |(id, owned): &(&ids::EndpointId, &OwnedLedger)| {
             listed.get(id) != Some(&owned.entry.started)
         };
-        let gone = self.ledgers.iter().filter(is_gone);
-        let gone: Vec<_> = gone.map(|(id, _)| id.clone()).collect();
-        for id in &gone {
+        let dropped = self.ledgers.iter().filter(is_dropped);
+        let dropped: Vec<_> = dropped.map(|(id, _)| id.clone()).collect();
+        for id in &dropped {
             self.ledgers.remove(id);
         }
         let ledgers = &self.ledgers;
         self.holders
             .retain(|_, holder| ledgers.contains_key(&holder.endpoint));
-        self.lent
+        self.borrowed
             .retain(|(endpoint, _), _| ledgers.contains_key(endpoint));
         self.refusals.retain(|id| ledgers.contains_key(id));
         for entry in owned {
@@ -209,39 +217,40 @@
             let ledger = ledger.or_insert_with(|| OwnedLedger::new(entry));
             ledger.entry = entry.clone();
         }
-        gone
+        dropped
     }
 
-    /// Takes the endpoints that may not be the ones at their address.
-    pub fn set_doubtful(&mut self, doubtful: collections::HashSet<ids::EndpointId>) {
-        self.doubtful = doubtful;
+    /// Sets the endpoints at whose address another endpoint may respond.
+    pub fn set_unverified(&mut self, unverified: collections::HashSet<ids::EndpointId>) {
+        self.unverified = unverified;
     }
 
-    /// A place for an online request, unless all endpoints are full.
+    /// Grants a slot to an online request unless all endpoints are full.
     ///
-    /// Prefers a free place near the asker; where none is free, the endpoint
-    /// with the fewest online requests gives one up.
+    /// Prefers an endpoint with a free slot, the least loaded one first and among equals
+    /// one in the domain of the requester. If none is free, the endpoint with the fewest
+    /// online requests gives up a batch stream or queues the request.
     pub fn acquire(
         &mut self,
         request: &peers::OnlineSlotRequest,
-        shunned: &collections::HashSet<ids::EndpointId>,
+        ejected: &collections::HashSet<ids::EndpointId>,
         now: clock::MonotonicTime,
     ) -> Option<GrantedSlot> {
-        if self.take_returned(request.number) {
+        if self.take_early_release(request.number) {
             return None;
         }
         let usable = self
             .of_service(&request.service)
             .filter(|owned| !request.tried.contains(&owned.entry.id));
         let best = usable.min_by_key(|owned| {
-            let full = owned.free() <= 0;
-            let load = match full {
+            let is_full = owned.spare_slots() <= 0;
+            let load = match is_full {
                 true => owned.ledger.online(),
                 false => owned.ledger.online() + owned.ledger.batch(),
             };
             (
-                shunned.contains(&owned.entry.id),
-                full,
+                ejected.contains(&owned.entry.id),
+                is_full,
                 load,
                 owned.entry.domain != request.domain,
                 owned.entry.id.clone(),
@@ -249,7 +258,7 @@
         })?;
         let is_free = best.free_online_slots() > 0;
         let may_wait =
-            request.may_queue && best.free_queue_slots(self.queue_of(best, request.wait)) > 0;
+            request.may_queue && best.free_queue_slots(self.max_queued(best, request.wait)) > 0;
         if !is_free && !may_wait {
             return None;
         }
@@ -260,7 +269,7 @@
             endpoint: endpoint.clone(),
             holder: request.holder.clone(),
             expiry: now + PERMIT_TTL,
-            begun: is_free.then_some(now),
+            granted_at: is_free.then_some(now),
         };
         self.holders.insert(request.number, holder);
         Some(GrantedSlot {
@@ -269,7 +278,7 @@
         })
     }
 
-    /// What stands in the way of a request that got no place.
+    /// Returns why a request got no slot.
     pub fn denial(
         &self,
         request: &peers::OnlineSlotRequest,
@@ -279,53 +288,59 @@
         let owned: Vec<_> = ledgers
             .filter(|o| o.entry.service == request.service)
             .collect();
-        let is_unwanted = |owned: &&&OwnedLedger| request.tried.contains(&owned.entry.id);
-        let is_here = |h: &&PermitHolder| {
+        let is_excluded = |owned: &&&OwnedLedger| request.tried.contains(&owned.entry.id);
+        let is_of_service = |h: &&PermitHolder| {
             let ledger = self.ledgers.get(&h.endpoint);
             ledger.is_some_and(|o| o.entry.service == request.service)
         };
-        let held: Vec<_> = self.holders.values().filter(is_here).collect();
+        let held: Vec<_> = self.holders.values().filter(is_of_service).collect();
         let holders: collections::HashSet<_> = held.iter().map(|h| &h.holder).collect();
         let ages = held
             .iter()
             .map(|h| PERMIT_TTL.saturating_sub(h.expiry.since(now)));
         SlotDenial {
             endpoints: owned.len(),
-            unwanted: owned.iter().filter(is_unwanted).count(),
-            closed: owned.len() - self.of_service(&request.service).count(),
+            excluded: owned.iter().filter(is_excluded).count(),
+            unavailable: owned.len() - self.of_service(&request.service).count(),
             online: owned.iter().map(|o| o.ledger.online()).sum(),
             holders: holders.len(),
             oldest: ages.max().unwrap_or_default(),
         }
     }
 
-    /// Requests that may wait at an endpoint, each for so long.
-    fn queue_of(&self, owned: &OwnedLedger, wait: time::Duration) -> u32 {
-        let hold = self.holds.get(&owned.entry.service).copied();
-        hold.unwrap_or_default().queue(owned.entry.slots, wait)
+    /// Returns how many requests may queue at an endpoint if each may wait for `wait`.
+    fn max_queued(&self, owned: &OwnedLedger, wait: time::Duration) -> u32 {
+        let hold_time = self.hold_times.get(&owned.entry.service).copied();
+        hold_time
+            .unwrap_or_default()
+            .max_waiting(owned.entry.slots, wait)
     }
 
-    /// Ends the permit of a request that was served, and learns from it; gives
-    /// its endpoint if it was known.
+    /// Releases the permit of a served request and records how long it was held.
+    ///
+    /// Returns its endpoint if the permit is known.
     pub fn release_served(
         &mut self,
         number: admission::PermitNumber,
         now: clock::MonotonicTime,
     ) -> Option<ids::EndpointId> {
-        let begun = self.holders.get(&number)?.begun;
+        let granted_at = self.holders.get(&number)?.granted_at;
         let endpoint = self.release(number)?;
-        if let (Some(begun), Some(owned)) = (begun, self.ledgers.get(&endpoint)) {
-            let hold = self.holds.entry(owned.entry.service.clone()).or_default();
-            hold.record(now.since(begun));
+        if let (Some(granted_at), Some(owned)) = (granted_at, self.ledgers.get(&endpoint)) {
+            let hold_time = self
+                .hold_times
+                .entry(owned.entry.service.clone())
+                .or_default();
+            hold_time.record(now.since(granted_at));
         }
         self.refusals.forget(&endpoint);
         Some(endpoint)
     }
 
-    /// Ends a permit; gives its endpoint if it was known.
+    /// Releases a permit; returns its endpoint if the permit is known.
     pub fn release(&mut self, number: admission::PermitNumber) -> Option<ids::EndpointId> {
         let Some(holder) = self.holders.remove(&number) else {
-            self.returned.put(number, ());
+            self.early_releases.put(number, ());
             return None;
         };
         if let Some(owned) = self.ledgers.get_mut(&holder.endpoint) {
@@ -334,59 +349,59 @@
         Some(holder.endpoint)
     }
 
-    /// Ends all permits and batch streams of processes that ended; gives their number.
+    /// Releases all permits and batch streams of processes that ended; returns their number.
     pub fn release_ended(&mut self, has_ended: impl Fn(&ids::InstanceRun) -> bool) -> usize {
         let held = self.holders.iter().filter(|(_, h)| has_ended(&h.holder));
         let held: Vec<_> = held.map(|(number, _)| *number).collect();
-        let lent = self.lent.iter().filter(|(_, b)| has_ended(&b.holder));
-        let lent: Vec<_> = lent.map(|(key, _)| key.clone()).collect();
-        let released = held.len() + lent.len();
+        let borrowed = self.borrowed.iter().filter(|(_, b)| has_ended(&b.holder));
+        let borrowed: Vec<_> = borrowed.map(|(key, _)| key.clone()).collect();
+        let released = held.len() + borrowed.len();
         for number in held {
             self.release(number);
         }
-        for (endpoint, number) in lent {
+        for (endpoint, number) in borrowed {
             self.end_batch(&endpoint, number);
         }
         released
     }
 
-    /// Who holds a batch stream, if it is another instance.
+    /// Removes and returns the borrower of a batch stream, if another instance runs it.
     pub fn borrower(
         &mut self,
         endpoint: &ids::EndpointId,
         number: admission::StreamNumber,
     ) -> Option<ids::InstanceId> {
-        let borrower = self.lent.remove(&(endpoint.clone(), number))?;
+        let borrower = self.borrowed.remove(&(endpoint.clone(), number))?;
         Some(borrower.holder.instance)
     }
 
-    /// The owned endpoints.
+    /// Returns the owned endpoints.
     pub fn owned(&self) -> impl Iterator<Item = &rc::Rc<directory::EndpointEntry>> {
         self.ledgers.values().map(|owned| &owned.entry)
     }
 
-    /// The owned endpoints that are left out for failing.
-    pub fn shunned(
+    /// Returns the owned endpoints that are ejected for failures.
+    pub fn ejected(
         &self,
-        loads: &selection::LoadBoard,
+        loads: &selection::LoadTable,
         now: clock::MonotonicTime,
     ) -> collections::HashSet<ids::EndpointId> {
-        loads.shunned(self.ledgers.len(), |id| self.ledgers.contains_key(id), now)
+        loads.ejected(self.ledgers.len(), |id| self.ledgers.contains_key(id), now)
     }
 
-    /// Batch streams that a peer may begin, up to the number that it asks for.
+    /// Lends slots for batch streams to a peer, up to the requested number.
     pub fn lend_batch(
         &mut self,
         request: &peers::BatchSlotRequest,
-        shunned: &collections::HashSet<ids::EndpointId>,
+        ejected: &collections::HashSet<ids::EndpointId>,
         now: clock::MonotonicTime,
     ) -> Vec<(ids::EndpointId, admission::StreamNumber)> {
-        let mut lent = Vec::new();
-        if self.take_returned(request.number) {
-            return lent;
+        let mut borrowed = Vec::new();
+        if self.take_early_release(request.number) {
+            return borrowed;
         }
-        while lent.len() < request.count {
-            let Some((entry, number)) = self.begin_batch(&request.service, shunned, now) else {
+        while borrowed.len() < request.count {
+            let Some((entry, number)) = self.begin_batch(&request.service, ejected, now) else {
                 break;
             };
             let key = (entry.id.clone(), number);
@@ -394,53 +409,53 @@
                 holder: request.holder.clone(),
                 request: request.number,
             };
-            self.lent.insert(key.clone(), borrower);
-            lent.push(key);
+            self.borrowed.insert(key.clone(), borrower);
+            borrowed.push(key);
         }
-        lent
+        borrowed
     }
 
-    /// Ends the batch streams that were lent to a question whose answer did not come. The
-    /// word of it may overtake the question.
+    /// Ends the batch streams lent to a request whose response was lost.
+    ///
+    /// The cancellation may arrive before the request, and is then remembered.
     pub fn cancel_lent(&mut self, request: u64) {
-        let lent = self.lent.iter().filter(|(_, b)| b.request == request);
-        let lent: Vec<_> = lent.map(|(key, _)| key.clone()).collect();
-        if lent.is_empty() {
-            self.returned.put(request, ());
+        let borrowed = self.borrowed.iter().filter(|(_, b)| b.request == request);
+        let borrowed: Vec<_> = borrowed.map(|(key, _)| key.clone()).collect();
+        if borrowed.is_empty() {
+            self.early_releases.put(request, ());
         }
-        for (endpoint, number) in lent {
+        for (endpoint, number) in borrowed {
             self.end_batch(&endpoint, number);
         }
     }
 
-    /// Notes that an owned endpoint refused a request that had a place there: it has
-    /// less room than its ledger says, and gives no places for a while.
+    /// Records that an owned endpoint refused a request that held a slot, and backs the
+    /// endpoint off, as it has fewer free slots than its ledger shows.
     pub fn record_refused(&mut self, endpoint: &ids::EndpointId, now: clock::MonotonicTime) {
         if self.ledgers.contains_key(endpoint) {
             self.refusals.record(endpoint, now, &mut rand::rng());
         }
     }
 
-    /// Notes that an endpoint served one who had a place there.
+    /// Records that an endpoint served a request that held a slot, which ends its backoff.
     pub fn record_served(&mut self, endpoint: &ids::EndpointId) {
         self.refusals.forget(endpoint);
     }
 
-    /// Lets owned endpoints give places again that refused a while ago; says whether
-    /// there were any.
+    /// Ends the backoffs that have expired; returns whether there were any.
     pub fn reopen(&mut self, now: clock::MonotonicTime) -> bool {
         self.refusals.expire(now)
     }
 
-    /// Whether nobody holds a place here.
+    /// Returns whether no slot is held.
     pub fn is_empty(&self) -> bool {
-        self.holders.is_empty() && self.lent.is_empty()
+        self.holders.is_empty() && self.borrowed.is_empty()
     }
 
-    /// Ends the permits that expired, and gives where they were and whose: nobody gave
-    /// them back, which is a fault of their holders or of the links to them.
+    /// Releases the expired permits; returns their endpoints and holders.
     ///
-    /// A ledger drops its own when it gives a place; one that is full gives none.
+    /// An expired permit is a fault of its holder or of the link to it. A ledger drops
+    /// expired permits only when it grants a slot, which a full one never does.
     pub fn expire(
         &mut self,
         now: clock::MonotonicTime,
@@ -454,32 +469,32 @@
         ended.collect()
     }
 
-    /// Whether a permit was given back that is not known here; it is told once.
-    pub fn take_returned(&mut self, number: admission::PermitNumber) -> bool {
-        self.returned.pop(&number).is_some()
+    /// Returns whether a number was released before its request arrived, and forgets it.
+    pub fn take_early_release(&mut self, number: admission::PermitNumber) -> bool {
+        self.early_releases.pop(&number).is_some()
     }
 
-    /// Whether endpoints of a service are owned here.
+    /// Returns whether this process owns endpoints of a service.
     pub fn owns(&self, service: &ids::ServiceName) -> bool {
         self.owned().any(|entry| entry.service == *service)
     }
 
-    /// Places that online requests of a service could have now.
+    /// Returns the number of slots of a service that online requests can get now.
     pub fn free_online_slots(&self, service: &ids::ServiceName) -> u32 {
         self.of_service(service)
             .map(OwnedLedger::free_online_slots)
             .sum()
     }
 
-    /// Places in queues that online requests of a service could have now, each
-    /// of which can wait for so long.
+    /// Returns the number of free queue slots of a service for requests that may wait for
+    /// `wait`.
     pub fn free_queue_slots(&self, service: &ids::ServiceName, wait: time::Duration) -> u32 {
         let owned = self.of_service(service);
-        let free_slots = owned.map(|owned| owned.free_queue_slots(self.queue_of(owned, wait)));
+        let free_slots = owned.map(|owned| owned.free_queue_slots(self.max_queued(owned, wait)));
         free_slots.sum()
     }
 
-    /// The owned endpoints of a service that may give places.
+    /// Returns the owned endpoints of a service that may grant slots.
     fn of_service<'a>(
         &'a self,
         service: &'a ids::ServiceName,
@@ -487,12 +502,12 @@
         let owned = self.ledgers.values();
         owned.filter(move |owned| {
             let id = &owned.entry.id;
-            let is_waited_for = self.doubtful.contains(id) && owned.is_held();
-            owned.entry.service == *service && !self.refusals.is_backed_off(id) && !is_waited_for
+            let awaits_response = self.unverified.contains(id) && owned.is_held();
+            owned.entry.service == *service && !self.refusals.is_backed_off(id) && !awaits_response
         })
     }
 
-    /// The room of each service with owned endpoints.
+    /// Returns the free slots of each service with owned endpoints.
     pub fn free_slots(&self) -> Vec<(ids::ServiceName, u32)> {
         let mut services: Vec<_> = self.owned().map(|entry| entry.service.clone()).collect();
         services.sort();
@@ -504,38 +519,38 @@
         free_slots.collect()
     }
 
-    /// Begins a batch stream at the owned endpoint of `service` with the most free places.
+    /// Begins a batch stream at the owned endpoint of `service` with the most free slots.
     pub fn begin_batch(
         &mut self,
         service: &ids::ServiceName,
-        shunned: &collections::HashSet<ids::EndpointId>,
+        ejected: &collections::HashSet<ids::EndpointId>,
         now: clock::MonotonicTime,
     ) -> Option<(rc::Rc<directory::EndpointEntry>, admission::StreamNumber)> {
-        let (refusals, doubtful) = (&self.refusals, &self.doubtful);
+        let (refusals, unverified) = (&self.refusals, &self.unverified);
         let usable = self.ledgers.values_mut().filter(|owned| {
             let id = &owned.entry.id;
-            let is_waited_for = doubtful.contains(id) && owned.is_held();
-            let is_open = !refusals.is_backed_off(id) && !is_waited_for;
-            owned.entry.service == *service && !shunned.contains(id) && is_open
+            let awaits_response = unverified.contains(id) && owned.is_held();
+            let is_open = !refusals.is_backed_off(id) && !awaits_response;
+            owned.entry.service == *service && !ejected.contains(id) && is_open
         });
-        let roomy = usable.filter_map(|owned| {
+        let available = usable.filter_map(|owned| {
             let free_slots = owned.ledger.free_batch_slots(now);
             (free_slots > 0).then_some(owned)
         });
-        let best = roomy.max_by_key(|owned| (owned.free(), owned.entry.id.clone()))?;
+        let best = available.max_by_key(|owned| (owned.spare_slots(), owned.entry.id.clone()))?;
         let number = best.ledger.begin_stream(now);
         Some((best.entry.clone(), number))
     }
 
-    /// Ends a batch stream; one that was taken back is not known any more.
+    /// Ends a batch stream; does nothing if it was preempted before.
     pub fn end_batch(&mut self, endpoint: &ids::EndpointId, number: admission::StreamNumber) {
-        self.lent.remove(&(endpoint.clone(), number));
+        self.borrowed.remove(&(endpoint.clone(), number));
         if let Some(owned) = self.ledgers.get_mut(endpoint) {
             owned.ledger.end_stream(number);
         }
     }
 
-    /// Online requests and batch streams at all owned endpoints.
+    /// Returns the numbers of online requests and of batch streams at all owned endpoints.
     pub fn totals(&self) -> (u32, u32) {
         let ledgers = self.ledgers.values().map(|owned| &owned.ledger);
         ledgers.fold((0, 0), |(online, batch), ledger| {
--- a/src/serving/relay.rs
+++ b/src/serving/relay.rs
@@ -1,46 +1,46 @@
-//! Carries one request of a caller to its answer.
+//! Relays one request of a caller to endpoints and returns the final response.
 
 use std::{rc, time};
 
 use actix_http::{header, StatusCode};
 
 use super::{
-    answer_copy, attempt, attempt_flow, context, crash_guard, event_flow, request_admission,
+    attempt, attempt_flow, context, crash_guard, event_flow, request_admission, response_copy,
     route_table, slots, suspension, wire,
 };
 use crate::{clock, decisions::crash_ledger::CrashVerdict, http_server, ids};
 
-/// Outcome of a request whose answer an endpoint gave to its end.
+/// Outcome of a request that got a complete response from an endpoint.
 pub(super) const ANSWERED: &str = "answered";
 
-/// What the caller of a request is told that is held back.
-const HELD_BODY: &str = "held back: each endpoint that began to run this request crashed\n";
+/// Response body for a request that is quarantined for crashing endpoints.
+const QUARANTINED_BODY: &str = "held back: each endpoint that began to run this request crashed\n";
 
-/// A request of a caller under way.
+/// An active request of a caller.
 pub struct CallerRequest {
-    /// Its route.
+    /// Route that the request matched.
     pub route: std::sync::Arc<route_table::Route>,
-    /// What goes to endpoints.
+    /// The request as it is forwarded to endpoints.
     pub forwarded: rc::Rc<attempt::ForwardedRequest>,
-    /// What the caller said.
+    /// Terms from the head of the request.
     pub terms: wire::CallerTerms,
-    /// When its final answer is due.
+    /// Deadline of the final response.
     pub deadline: clock::BootInstant,
-    /// When it came.
+    /// When the request arrived.
     pub arrived: clock::BootInstant,
-    /// What was spent of its workspace's limit.
+    /// Token spent for it from the rate limit of its workspace.
     pub(super) token: Option<request_admission::SpentToken>,
-    /// The workspace that it is served for.
+    /// Workspace that the request is served for.
     pub workspace: Option<ids::WorkspaceId>,
 }
 
-/// Counts a request under way until its answer has gone or its caller has left.
+/// Guard that counts an active request until its response was sent or its caller left.
 pub struct ActiveRequest {
     context: rc::Rc<context::ProcessContext>,
 }
 
 impl ActiveRequest {
-    /// Begins to count.
+    /// Counts a request until the guard is dropped.
     pub fn begin(context: &rc::Rc<context::ProcessContext>) -> Self {
         context.active.set(context.active.get() + 1);
         Self {
@@ -58,30 +58,32 @@
 /// The final refusal or failure of a request.
 #[derive(Debug)]
 pub enum FinalError {
-    /// It did not run and will not: the caller may come back after this time.
+    /// It did not run and will not; the caller may retry after this time.
     NotRun(time::Duration, String),
-    /// It did not run: it is held back for so long, as it crashes endpoints.
+    /// It did not run; it is quarantined for this time, as it crashes endpoints.
     Held(time::Duration),
-    /// It may have run and failed.
+    /// It may have run, and failed.
     Failed(String),
-    /// Its time is over.
+    /// Its deadline has passed.
     Late,
 }
 
-/// One request on its way through attempts.
+/// The state of one request over all its attempts.
 pub(super) struct RequestRelay {
     pub(super) context: rc::Rc<context::ProcessContext>,
     pub(super) request: CallerRequest,
     pub(super) log: attempt_flow::AttemptLog,
-    /// Index of the last event that went to the caller, or that it named itself.
+    /// Index of the last event sent to the caller, or of the one after which the caller
+    /// resumes a stream.
     pub(super) last_event: Option<u64>,
-    pub(super) started: bool,
-    /// Time from its arrival to the first event that went to the caller.
+    /// Whether the head of a stream was sent to the caller.
+    pub(super) is_started: bool,
+    /// Time from the arrival of the request to the first event sent to the caller.
     first_event: std::cell::Cell<Option<time::Duration>>,
     _active: ActiveRequest,
 }
 
-/// Serves a request to its final answer.
+/// Serves a request and returns its final response.
 pub async fn serve(
     context: rc::Rc<context::ProcessContext>,
     request: CallerRequest,
@@ -93,15 +95,15 @@
         request,
         log: attempt_flow::AttemptLog::default(),
         last_event,
-        started: false,
+        is_started: false,
         first_event: std::cell::Cell::new(None),
         _active: active,
     };
     let id = relay.request.terms.id.as_deref().unwrap_or("-");
     let digest = relay.request.forwarded.digest;
-    // Known to be in vain, so it is not let wait for a place.
+    // A quarantined request must not wait for a slot.
     let verdict = crash_guard::admit_settled(&relay.context, digest, id).await;
-    if let CrashVerdict::Held(left) = verdict {
+    if let CrashVerdict::Quarantined(left) = verdict {
         return relay.refuse(&FinalError::Held(left));
     }
     let outcome = match relay.request.route.kind.is_stream() {
@@ -109,37 +111,39 @@
         false => relay.full_response().await,
     };
     match outcome {
-        Ok(Served::Whole(response)) => {
+        Ok(ServedResponse::Full(response)) => {
             relay.record_end(ANSWERED, response.status().as_u16());
             response
         }
-        Ok(Served::Stream(head, stream)) => relay.into_stream(head, stream),
+        Ok(ServedResponse::Stream(head, stream)) => relay.into_stream(head, stream),
         Err(e) => relay.refuse(&e),
     }
 }
 
-/// What a request came to.
-pub(super) enum Served {
-    Whole(http_server::HttpResponse),
+/// The response of a request.
+pub(super) enum ServedResponse {
+    Full(http_server::HttpResponse),
     Stream(actix_http::ResponseHead, Box<event_flow::OpenStream>),
 }
 
 impl RequestRelay {
-    pub(super) fn left(&self) -> time::Duration {
+    /// Returns the time left until the deadline.
+    pub(super) fn time_left(&self) -> time::Duration {
         let now = clock::BootInstant::now();
         self.request.deadline.duration_since(now)
     }
 
-    /// Resolves when the caller's time is over.
-    pub(super) async fn time_over(&self) {
-        suspension::time_over(&self.context, || self.left()).await;
+    /// Resolves when the deadline of the request has passed.
+    pub(super) async fn wait_for_deadline(&self) {
+        suspension::sleep_remaining(&self.context, || self.time_left()).await;
     }
 
+    /// Returns whether the request may run more than once.
     pub(super) fn may_repeat(&self) -> bool {
         self.request.route.kind.is_repeatable()
     }
 
-    /// Attempts that may still run.
+    /// Returns how many more attempts may run.
     pub(super) fn attempts_left(&self) -> u32 {
         let allowed = match self.may_repeat() {
             true => self.request.route.max_attempts,
@@ -148,11 +152,11 @@
         allowed.saturating_sub(self.log.ran)
     }
 
-    /// Waits for an endpoint, and suspects it when it takes longer than the objective.
+    /// Waits for an endpoint, and reports a failure if it takes longer than the objective.
     ///
-    /// A request that may run once has to go on waiting; others can be spared
-    /// the endpoint by then.
-    pub(super) async fn suspecting<T>(
+    /// The wait goes on, as the request may not run elsewhere; the report lets other
+    /// requests avoid the endpoint.
+    pub(super) async fn report_if_slow<T>(
         &self,
         slot: &slots::HeldSlot,
         waiting: impl std::future::Future<Output = T>,
@@ -172,72 +176,83 @@
         waiting.await
     }
 
-    /// A whole answer, held back until it is complete.
-    async fn full_response(&mut self) -> Result<Served, FinalError> {
+    /// Returns a response that is buffered until it is complete.
+    ///
+    /// # Errors
+    /// No attempt succeeded, or no further one is allowed.
+    async fn full_response(&mut self) -> Result<ServedResponse, FinalError> {
         loop {
-            let mut answered = self.next_answer(None).await?;
-            let reading = answer_copy::read_whole(&mut answered.open.incoming);
+            let mut responding = self.next_response(None).await?;
+            let reading = response_copy::read_full_body(&mut responding.open.incoming);
             let read = tokio::select! {
                 biased;
                 read = reading => read,
-                () = self.time_over() => return Err(FinalError::Late),
+                () = self.wait_for_deadline() => return Err(FinalError::Late),
             };
             match read {
                 Ok(body) => {
-                    let response = self.whole(&answered.open.incoming.head, body);
-                    self.give_back(answered);
-                    return Ok(Served::Whole(response));
+                    let response = self.build_response(&responding.open.incoming.head, body);
+                    self.finish_response(responding);
+                    return Ok(ServedResponse::Full(response));
                 }
                 Err(e) => {
-                    self.record_broken(&answered.slot, "cut", &e.to_string());
-                    answered.slot.record_failed(false);
-                    drop(answered);
+                    self.record_truncated(&responding.slot, "cut", &e.to_string());
+                    responding.slot.record_failed(false);
+                    drop(responding);
                     match self.after_unknown(e.to_string()) {
                         attempt_flow::NextStep::GiveUp(e) => return Err(e),
-                        attempt_flow::NextStep::Again => continue,
+                        attempt_flow::NextStep::Retry => continue,
                     }
                 }
             }
         }
     }
 
-    pub(super) fn whole(
+    /// Builds the caller's response from an endpoint's head and full body.
+    pub(super) fn build_response(
         &self,
         head: &actix_http::ResponseHead,
         body: bytes::Bytes,
     ) -> http_server::HttpResponse {
         let mut response = actix_http::Response::build(head.status);
-        answer_copy::copy_headers(&self.context, head, &mut response);
-        self.mark_close(&mut response);
+        response_copy::copy_forwarded_headers(&self.context, head, &mut response);
+        self.close_if_stopping(&mut response);
         response.body(body).map_into_boxed_body()
     }
 
-    pub(super) fn mark_close(&self, response: &mut actix_http::ResponseBuilder) {
+    /// Closes the caller's connection after the response if the process is stopping.
+    pub(super) fn close_if_stopping(&self, response: &mut actix_http::ResponseBuilder) {
         if self.context.is_stopping() {
             response.force_close();
         }
     }
 
-    /// Keeps the connection of an answer that is complete.
-    pub(super) fn give_back(&self, answered: attempt_flow::Answered) {
-        if !attempt::is_failure(answered.open.incoming.head.status) {
-            answered.slot.record_served();
+    /// Records a complete response and returns its connection to the pool.
+    pub(super) fn finish_response(&self, responding: attempt_flow::RespondingAttempt) {
+        if !attempt::is_failure(responding.open.incoming.head.status) {
+            responding.slot.record_served();
         }
-        let limit = answered.open.notes.idle_limit;
-        if let Some(connection) = answered.open.incoming.into_connection() {
+        let limit = responding.open.metadata.idle_limit;
+        if let Some(connection) = responding.open.incoming.into_connection() {
             self.context.pool.put(connection, limit);
         }
     }
 
-    pub(super) fn observe_first(&self) {
+    /// Records the time to the first event.
+    pub(super) fn record_first_event(&self) {
         let duration = self.request.arrived.elapsed();
         self.first_event.set(Some(duration));
         let metrics = &self.context.metrics;
-        metrics.observe(&metrics.first_token, self.series(), self.label(), duration);
+        metrics.observe(
+            &metrics.first_token,
+            self.metric_series(),
+            self.label(),
+            duration,
+        );
     }
 
-    /// Whose series of metrics it counts in: those of its workspace, or of its route.
-    fn series(&self) -> &str {
+    /// Returns the label of its metric series: its workspace, or its route if it has none.
+    fn metric_series(&self) -> &str {
         let workspace = self.request.workspace.as_ref();
         workspace.map_or(&self.request.route.name, |id| id.as_str())
     }
@@ -246,15 +261,20 @@
         self.request.route.kind.label()
     }
 
-    /// One line and one count for the end of a request.
+    /// Logs and counts the end of a request.
     pub(super) fn record_end(&self, outcome: &str, status: u16) {
-        let spent = self.request.arrived.elapsed();
+        let duration = self.request.arrived.elapsed();
         if outcome == ANSWERED {
             crash_guard::record_served(&self.context, self.request.forwarded.digest);
         }
         let metrics = &self.context.metrics;
         metrics.responses.with_label_values(&[outcome]).inc();
-        metrics.observe(&metrics.full_response, self.series(), self.label(), spent);
+        metrics.observe(
+            &metrics.full_response,
+            self.metric_series(),
+            self.label(),
+            duration,
+        );
         log::info!(
             "event=request_end request={} digest={} workspace={} route={} version={} outcome={outcome} status={status} ms={} first_ms={} objective_ms={} ran={} not_run={} endpoint={} last_event={}",
             self.request.terms.id.as_deref().unwrap_or("-"),
@@ -262,8 +282,8 @@
             self.request.workspace.as_ref().map_or("-", |id| id.as_str()),
             self.request.route.name,
             self.context.fleet.table().version(),
-            spent.as_millis(),
-            self.first_event.get().unwrap_or(spent).as_millis(),
+            duration.as_millis(),
+            self.first_event.get().unwrap_or(duration).as_millis(),
             self.request.route.objective.as_millis(),
             self.log.ran,
             self.log.not_run,
@@ -272,6 +292,7 @@
         );
     }
 
+    /// Builds the response for an error; refunds the token if the request did not run.
     fn refuse(&mut self, error: &FinalError) -> http_server::HttpResponse {
         let (outcome, status) = match error {
             FinalError::NotRun(..) => ("refused", StatusCode::SERVICE_UNAVAILABLE),
@@ -285,19 +306,19 @@
         );
         if matches!(error, FinalError::NotRun(..) | FinalError::Held(_)) {
             if let Some(token) = self.request.token.take() {
-                token.give_back();
+                token.refund();
             }
         }
         self.record_end(outcome, status.as_u16());
         let mut response = actix_http::Response::build(status);
-        self.mark_close(&mut response);
+        self.close_if_stopping(&mut response);
         if let FinalError::NotRun(delay, _) | FinalError::Held(delay) = error {
             response.insert_header((header::RETRY_AFTER, format!("{:.2}", delay.as_secs_f64())));
         }
-        let told = match error {
-            FinalError::Held(_) => HELD_BODY,
+        let body = match error {
+            FinalError::Held(_) => QUARANTINED_BODY,
             _ => outcome,
         };
-        response.body(told).map_into_boxed_body()
+        response.body(body).map_into_boxed_body()
     }
 }
--- a/src/serving/request_admission.rs
+++ b/src/serving/request_admission.rs
@@ -1,4 +1,5 @@
-//! Admits a caller's request: whose it is, and whether that workspace may send it.
+//! Admits a caller's request: identifies its workspace and applies the workspace's
+//! rate limit.
 
 use std::{rc, sync, time};
 
@@ -13,33 +14,34 @@
     http_server, ids, protection,
 };
 
-/// When a caller may return whose key is not known here yet: its next attempt goes to
-/// another gateway.
-const UNDECIDED_PAUSE: time::Duration = time::Duration::from_millis(100);
-/// Scheme that callers authenticate with.
+/// `Retry-After` for a key that this process does not know yet.
+///
+/// It is short, as the next try goes to another gateway.
+const UNDECIDED_RETRY_AFTER: time::Duration = time::Duration::from_millis(100);
+/// Authentication scheme in the `WWW-Authenticate` header.
 const CHALLENGE: &str = "Token";
 
 /// The workspace that a request is served for, if it has one.
 pub(super) type CallerWorkspace = Option<sync::Arc<workspace_table::WorkspaceSpec>>;
 
-/// A token that was spent for a request.
+/// A rate-limit token spent for a request.
 pub(super) struct SpentToken {
     context: rc::Rc<context::ProcessContext>,
     workspace: ids::WorkspaceId,
 }
 
 impl SpentToken {
-    /// Gives it back, as the request was not run.
-    pub(super) fn give_back(self) {
+    /// Refunds the token, as the request did not run.
+    pub(super) fn refund(self) {
         let now = self.context.clock.now();
         self.context.limiter.give_back(&self.workspace, now);
     }
 }
 
-/// Finds out whose a request is.
+/// Identifies the workspace of a request by its API key.
 ///
 /// # Errors
-/// The answer to a request that is not served.
+/// The response that rejects the request.
 pub(super) fn identify(
     context: &context::ProcessContext,
     table: &route_table::RouteTable,
@@ -57,8 +59,8 @@
         },
         api_key::PresentedKey::Missing | api_key::PresentedKey::Malformed => KeyMatch::NoKey,
     };
-    let view = key_view(context, table.version());
-    match authentication::authenticate(found, is_public, view) {
+    let freshness = key_freshness(context, table.version());
+    match authentication::authenticate(found, is_public, freshness) {
         KeyVerdict::Anonymous => Ok(None),
         KeyVerdict::Workspace(spec) => Ok(Some(spec)),
         KeyVerdict::Unauthorized => Err(unauthorized(context, table, terms)),
@@ -66,18 +68,25 @@
     }
 }
 
-/// Whether the view of keys may be out of date.
-fn key_view(context: &context::ProcessContext, version: route_table::StateVersion) -> KeyFreshness {
+/// Returns whether the known API keys are current.
+fn key_freshness(
+    context: &context::ProcessContext,
+    version: route_table::StateVersion,
+) -> KeyFreshness {
     let now = context.clock.now();
     let members = context.members.borrow();
-    let is_newer_known = members.with_newer_state(version, now).next().is_some();
-    let is_followed = context.fleet.is_following() || members.hears_follower(now);
+    let is_newer_known = members
+        .addresses_with_newer_state(version, now)
+        .next()
+        .is_some();
+    let is_followed = context.fleet.is_following() || members.has_live_follower(now);
     match is_followed && !is_newer_known {
         true => KeyFreshness::Current,
         false => KeyFreshness::Stale,
     }
 }
 
+/// Rejects a request without a valid key.
 fn unauthorized(
     context: &context::ProcessContext,
     table: &route_table::RouteTable,
@@ -95,6 +104,7 @@
         .map_into_boxed_body()
 }
 
+/// Rejects a request whose key may be newer than the keys known here.
 fn undecided(
     context: &context::ProcessContext,
     table: &route_table::RouteTable,
@@ -103,11 +113,12 @@
     record_rejected(context, table, terms, "key_undecided");
     refused(
         StatusCode::SERVICE_UNAVAILABLE,
-        UNDECIDED_PAUSE,
+        UNDECIDED_RETRY_AFTER,
         "the API key is not known here yet\n",
     )
 }
 
+/// Logs and counts a request that is rejected for its key.
 fn record_rejected(
     context: &context::ProcessContext,
     table: &route_table::RouteTable,
@@ -135,10 +146,10 @@
         .map_into_boxed_body()
 }
 
-/// Holds a request to the limit of its workspace.
+/// Spends a token of the rate limit of a request's workspace, if it has one.
 ///
 /// # Errors
-/// The answer to a request that is not served.
+/// The response that rejects the request.
 pub(super) async fn admit(
     context: &rc::Rc<context::ProcessContext>,
     workspace: &CallerWorkspace,
@@ -153,7 +164,7 @@
     if protection::is_disabled("rate_limit") {
         return Ok(None);
     }
-    let source = limit_links::LinkedSource::new(context);
+    let source = limit_links::LinkTokenSource::new(context);
     let clock = context.clock.as_ref();
     let verdict = context.limiter.admit(&spec.id, &source, clock).await;
     let (reason, status, delay) = match verdict {
@@ -186,14 +197,16 @@
     Err(refused(status, delay, body))
 }
 
-/// Digits of a workspace in the names of its jobs.
+/// Number of digits of a workspace's digest in the ids of its jobs.
 const SCOPE_DIGITS: usize = 16;
 
-/// The name under which a job is kept: workspaces do not see each other's jobs, also
-/// where their names are the same.
+/// Returns the id under which a job is stored.
+///
+/// It includes a digest of the workspace, so that jobs of the same name in different
+/// workspaces stay separate.
 ///
 /// # Errors
-/// The name is too long for it.
+/// The resulting id is too long.
 pub(super) fn scoped_job(
     job: &ids::JobId,
     workspace: Option<&ids::WorkspaceId>,
--- a/src/serving/slots.rs
+++ b/src/serving/slots.rs
@@ -1,4 +1,5 @@
-//! A place for an online request: asked of an owner, or taken on this process's own counts.
+//! Slots for online requests: requested from an owner, or chosen by this process's own
+//! counts.
 
 use std::{cell, net, rc, time};
 
@@ -9,42 +10,44 @@
     ids, outcome,
 };
 
-/// Longest wait for an owner; a round trip takes 1 to 4 ms, so it is lost or overloaded then.
+/// Timeout of a request to an owner.
+///
+/// A round trip takes 1 to 4 ms, so an owner that takes longer is lost or overloaded.
 const OWNER_TIMEOUT: time::Duration = time::Duration::from_millis(40);
-/// Owners that are asked before the request goes ahead or is refused.
-const OWNERS_ASKED: usize = 3;
-/// Places that an owner is taken to have before it said so.
-const UNKNOWN_ROOM: u32 = 8;
+/// Maximum number of owners queried before a request is sent without a permit or refused.
+const MAX_QUERIED_OWNERS: usize = 3;
+/// Number of free slots assumed of an owner that has not reported any.
+const ASSUMED_FREE_SLOTS: u32 = 8;
 
-/// A place that is held until this is dropped.
+/// A slot that is held until this value is dropped.
 pub struct HeldSlot {
     context: rc::Rc<context::ProcessContext>,
     /// The endpoint.
     pub endpoint: rc::Rc<directory::EndpointEntry>,
     permit: Option<HeldPermit>,
     is_served: cell::Cell<bool>,
-    taken: clock::MonotonicTime,
+    acquired_at: clock::MonotonicTime,
 }
 
 impl HeldSlot {
-    /// When it was taken.
-    pub fn taken(&self) -> clock::MonotonicTime {
-        self.taken
+    /// Returns when the slot was acquired.
+    pub fn acquired_at(&self) -> clock::MonotonicTime {
+        self.acquired_at
     }
 
-    /// Notes that the endpoint served the request, or goes on doing so.
+    /// Records that the endpoint served the request, or has begun its response.
     pub fn record_served(&self) {
         let mut loads = self.context.loads.borrow_mut();
         loads.health.record_success(&self.endpoint.id);
         if !self.is_served.replace(true) {
-            self.context.fleet.record_named(&self.endpoint.id);
-            let mut firsts = self.context.firsts.borrow_mut();
+            self.context.fleet.record_verified(&self.endpoint.id);
+            let mut firsts = self.context.first_estimates.borrow_mut();
             let first = firsts.entry(self.endpoint.service.clone()).or_default();
-            first.record(self.context.clock.now().since(self.taken));
+            first.record(self.context.clock.now().since(self.acquired_at));
         }
     }
 
-    /// Notes that the endpoint goes on, if it was taken for failed.
+    /// Records that the endpoint makes progress after a failure was recorded.
     pub fn record_progress(&self) {
         if !self.is_served.replace(true) {
             let mut loads = self.context.loads.borrow_mut();
@@ -52,32 +55,34 @@
         }
     }
 
-    /// Notes that the endpoint failed, or did not answer at all, and tells its owner.
+    /// Records that the endpoint failed, and reports it to the owner.
+    ///
+    /// `is_silent` says that it gave no response at all.
     pub fn record_failed(&self, is_silent: bool) {
         self.is_served.set(false);
-        self.tell(endpoint_reports::failure(&self.context, is_silent));
+        self.report(endpoint_reports::failure(&self.context, is_silent));
     }
 
-    /// Notes that the endpoint did not run an attempt, and tells its owner.
+    /// Records that the endpoint did not run an attempt, and reports it to the owner.
     pub fn record_refused(&self, reason: outcome::NotRunReason) {
         self.is_served.set(false);
         endpoint_reports::count_refusal(&self.context, reason);
-        if let Some(observation) = endpoint_reports::of_refusal(&self.context, reason) {
-            self.tell(observation);
+        if let Some(observation) = endpoint_reports::from_refusal(&self.context, reason) {
+            self.report(observation);
         }
     }
 
-    fn tell(&self, observation: peers::EndpointObservation) {
+    fn report(&self, observation: peers::EndpointObservation) {
         let grantor = match self.permit {
-            None => endpoint_reports::SlotGrantor::Nobody,
-            Some(HeldPermit::Here(_)) => endpoint_reports::SlotGrantor::Here,
+            None => endpoint_reports::SlotGrantor::NoOwner,
+            Some(HeldPermit::Here(_)) => endpoint_reports::SlotGrantor::Local,
             Some(HeldPermit::Peer(owner, _)) => endpoint_reports::SlotGrantor::Peer(owner),
         };
         endpoint_reports::record(&self.context, &self.endpoint, grantor, observation);
     }
 }
 
-/// Where a permit is to be released.
+/// The process at which a permit is to be released.
 enum HeldPermit {
     Here(admission::PermitNumber),
     Peer(net::SocketAddr, admission::PermitNumber),
@@ -87,60 +92,60 @@
     fn drop(&mut self) {
         self.context.loads.borrow_mut().end(&self.endpoint.id);
         if let Some(permit) = &self.permit {
-            end_permit(&self.context, permit, self.is_served.get());
+            release_permit(&self.context, permit, self.is_served.get());
         }
     }
 }
 
-/// Why there is no place.
+/// The reason why there is no slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum SlotUnavailable {
     /// No endpoint of the service is listed, or all were tried.
     #[error("no endpoint of the service is left")]
     NoEndpoint,
-    /// All endpoints hold as much as they may.
+    /// All endpoints are at their limits.
     #[error("all endpoints of the service are full")]
     Full,
 }
 
-/// What one owner said.
+/// The reply of one owner.
 enum OwnerReply {
     Slot(HeldSlot),
     None(SlotReply),
 }
 
-/// What an owner said that gave no place.
+/// The reply of an owner that granted no slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SlotReply {
-    /// There is none; so many places are left in queues.
+    /// All slots are in use; holds how many more requests may queue.
     Full(u32),
     /// It owns no endpoint of the service.
     NotOwner,
-    /// It gave no answer.
+    /// It gave no usable response.
     Silent,
 }
 
-/// Whether a service is full: all owners that were asked and own a part of it say so.
+/// Returns whether a service is full: every queried owner of its endpoints replied so.
 pub fn all_full(replies: &[SlotReply]) -> bool {
-    let is_full = |word: &SlotReply| matches!(word, SlotReply::Full(_));
+    let is_full = |reply: &SlotReply| matches!(reply, SlotReply::Full(_));
     replies.iter().any(is_full) && !replies.contains(&SlotReply::Silent)
 }
 
-/// What a place is to be for.
+/// The parameters of a request for a slot.
 #[derive(Debug, Clone, Copy)]
 pub struct SlotParams<'a> {
     /// The service that is to serve it.
     pub service: &'a ids::ServiceName,
-    /// Endpoints that were tried.
+    /// Endpoints that were tried before and are excluded.
     pub tried: &'a [ids::EndpointId],
-    /// Time within which its first event is to come.
+    /// Latency objective for the first event.
     pub objective: time::Duration,
 }
 
-/// Finds a place for a request.
+/// Acquires a slot for a new request.
 ///
 /// # Errors
-/// See [`SlotUnavailable`].
+/// All endpoints are full or were tried, see [`SlotUnavailable`].
 pub async fn acquire(
     context: &rc::Rc<context::ProcessContext>,
     request: &SlotParams<'_>,
@@ -151,66 +156,66 @@
     match query_owners(context, request).await {
         OwnerReply::Slot(slot) => Ok(slot),
         OwnerReply::None(SlotReply::Full(_)) => Err(SlotUnavailable::Full),
-        OwnerReply::None(_) => go_ahead(context, request.service, request.tried),
+        OwnerReply::None(_) => choose_locally(context, request.service, request.tried),
     }
 }
 
-/// Asks a few owners for a free slot.
+/// Requests a free slot from a few owners in turn.
 ///
 /// # Errors
-/// None gave one: what each of them said.
+/// None granted one; holds the reply of each.
 pub(super) async fn request_slot<'a>(
     context: &rc::Rc<context::ProcessContext>,
     request: &SlotParams<'_>,
     owners: &'a [ids::InstanceId],
 ) -> Result<HeldSlot, Vec<(SlotReply, &'a ids::InstanceId)>> {
     let mut replies = Vec::new();
-    for owner in owners.iter().take(OWNERS_ASKED) {
+    for owner in owners.iter().take(MAX_QUERIED_OWNERS) {
         let slot = online_slot_request(context, request);
         match send_request(context, owner, slot).await {
             OwnerReply::Slot(slot) => return Ok(slot),
-            OwnerReply::None(word) => replies.push((word, owner)),
+            OwnerReply::None(reply) => replies.push((reply, owner)),
         }
     }
     Err(replies)
 }
 
-/// Finds a place where a new request would be refused too, for one that has begun.
+/// Acquires a slot for a request that has run, even if a new request would be refused.
 ///
 /// # Errors
 /// No endpoint is left.
-pub async fn any_slot(
+pub async fn acquire_or_choose_locally(
     context: &rc::Rc<context::ProcessContext>,
     request: &SlotParams<'_>,
 ) -> Result<HeldSlot, SlotUnavailable> {
     match acquire(context, request).await {
-        Err(SlotUnavailable::Full) => go_ahead(context, request.service, request.tried),
+        Err(SlotUnavailable::Full) => choose_locally(context, request.service, request.tried),
         slot => slot,
     }
 }
 
-/// Asks a few owners for a free place, and if all are full for one in a queue.
+/// Requests a free slot from a few owners, and if all are full, a slot in a queue.
 async fn query_owners(
     context: &rc::Rc<context::ProcessContext>,
     request: &SlotParams<'_>,
 ) -> OwnerReply {
     let service = request.service;
     let owners = owner_order(context, service);
-    let told = match request_slot(context, request, &owners).await {
+    let denials = match request_slot(context, request, &owners).await {
         Ok(slot) => return OwnerReply::Slot(slot),
-        Err(told) => told,
+        Err(denials) => denials,
     };
-    let replies: Vec<_> = told.iter().map(|(word, _)| *word).collect();
+    let replies: Vec<_> = denials.iter().map(|(reply, _)| *reply).collect();
     if !all_full(&replies) {
         return OwnerReply::None(SlotReply::Silent);
     }
-    let roomy = told.iter().filter_map(|(word, owner)| match word {
+    let with_queue = denials.iter().filter_map(|(reply, owner)| match reply {
         SlotReply::Full(free_queue_slots) if *free_queue_slots > 0 => {
             Some((free_queue_slots, owner))
         }
         _ => None,
     });
-    if let Some((_, owner)) = roomy.max() {
+    if let Some((_, owner)) = with_queue.max() {
         let queued = peers::OnlineSlotRequest {
             may_queue: true,
             ..online_slot_request(context, request)
@@ -227,11 +232,11 @@
     OwnerReply::None(SlotReply::Full(0))
 }
 
-/// Chooses on this process's own counts.
+/// Chooses an endpoint by this process's own counts, without a permit.
 ///
 /// # Errors
 /// No endpoint is left.
-pub fn go_ahead(
+pub fn choose_locally(
     context: &rc::Rc<context::ProcessContext>,
     service: &ids::ServiceName,
     tried: &[ids::EndpointId],
@@ -249,40 +254,41 @@
         endpoint,
         permit: None,
         is_served: cell::Cell::new(false),
-        taken: context.clock.now(),
+        acquired_at: context.clock.now(),
     })
 }
 
-/// The owners in the order in which they are asked.
+/// Returns the owners in the order in which they are queried.
 pub(super) fn owner_order(
     context: &context::ProcessContext,
     service: &ids::ServiceName,
 ) -> Vec<ids::InstanceId> {
     let free_slots = context.free_slots.borrow();
     let owners = context.owners();
-    let is_heard = |id: &ids::InstanceId| id == context.id() || context.receives_from(id);
-    // A service of few endpoints has few owners: the others need not be asked.
+    let is_reachable = |id: &ids::InstanceId| id == context.id() || context.receives_from(id);
+    // A service with few endpoints has few owners; the others need not be queried.
     let owns = |id: &ids::InstanceId| free_slots.contains_key(&(id.clone(), service.clone()));
-    let is_told = owners.iter().any(|owner| owns(&owner.id));
-    let asked = owners.iter().filter(|owner| is_heard(&owner.id));
-    let asked = asked.filter(|o| !is_told || o.id == *context.id() || owns(&o.id));
-    let known = asked.map(|owner| {
+    let are_owners_known = owners.iter().any(|owner| owns(&owner.id));
+    let queried = owners.iter().filter(|owner| is_reachable(&owner.id));
+    let queried = queried.filter(|o| !are_owners_known || o.id == *context.id() || owns(&o.id));
+    let capacities = queried.map(|owner| {
         let key = (owner.id.clone(), service.clone());
         owner_order::OwnerCapacity {
             id: owner.id.clone(),
-            free_slots: free_slots.get(&key).copied().unwrap_or(UNKNOWN_ROOM),
+            free_slots: free_slots.get(&key).copied().unwrap_or(ASSUMED_FREE_SLOTS),
             is_same_domain: owner.domain == *context.domain(),
         }
     });
-    owner_order::draw_order(known.collect(), &mut rand::rng())
+    owner_order::random_order(capacities.collect(), &mut rand::rng())
 }
 
+/// Builds a request for a slot that excludes the endpoints ejected by this process.
 fn online_slot_request(
     context: &context::ProcessContext,
     request: &SlotParams<'_>,
 ) -> peers::OnlineSlotRequest {
     let SlotParams { service, tried, .. } = *request;
-    let first = context.firsts.borrow().get(service).copied();
+    let first = context.first_estimates.borrow().get(service).copied();
     let directory = context.fleet.directory.borrow();
     let count = directory.of_service(service).len();
     let is_listed = |id: &ids::EndpointId| {
@@ -290,22 +296,25 @@
         entry.is_some_and(|e| e.service == *service)
     };
     let loads = context.loads.borrow();
-    // What failed this process may serve others: its owner need not know.
-    let shunned = loads.shunned(count, is_listed, context.clock.now());
-    let mut unwanted = tried.to_vec();
-    unwanted.extend(shunned.into_iter().filter(|id| !tried.contains(id)));
+    // An endpoint that fails for this process may serve others, so it is excluded from
+    // this request only.
+    let ejected = loads.ejected(count, is_listed, context.clock.now());
+    let mut excluded = tried.to_vec();
+    excluded.extend(ejected.into_iter().filter(|id| !tried.contains(id)));
     peers::OnlineSlotRequest {
         number: rand::random(),
         holder: context.run.clone(),
         domain: context.domain().clone(),
         service: service.clone(),
-        tried: unwanted,
+        tried: excluded,
         may_queue: false,
-        wait: first.unwrap_or_default().wait(request.objective),
+        wait: first.unwrap_or_default().max_wait(request.objective),
     }
 }
 
-/// Asks an owner through a gateway that hears it, if this process is cut off.
+/// Requests a slot through a relay if this process is cut off from the owners.
+///
+/// The relay is a gateway that receives heartbeats from them.
 pub(super) async fn request_from_relay(
     context: &rc::Rc<context::ProcessContext>,
     request: &SlotParams<'_>,
@@ -323,25 +332,25 @@
         .acquire(relay.address, request, OWNER_TIMEOUT * 2)
         .await
     {
-        Ok(response) => take_answer(context, &relay.id, response, permit),
+        Ok(response) => accept_response(context, &relay.id, response, permit),
         Err(e) => {
             log::info!("event=relay_silent relay={} why=\"{e}\"", relay.id);
-            end_permit(context, &permit, false);
+            release_permit(context, &permit, false);
             None
         }
     }
 }
 
-/// Asks the owners for a peer that is cut off from them.
+/// Requests a slot from the owners on behalf of a peer that is cut off from them.
 pub async fn request_for_peer(
     context: &rc::Rc<context::ProcessContext>,
     mut request: peers::OnlineSlotRequest,
 ) -> Option<peers::OnlineSlotResponse> {
-    // The owners do not hear the peer, and would take its places back.
+    // The owners receive no heartbeats from the peer, and would release its slots.
     request.holder = context.run.clone();
     let number = request.number;
     let owners = owner_order(context, &request.service);
-    for owner in owners.iter().take(OWNERS_ASKED) {
+    for owner in owners.iter().take(MAX_QUERIED_OWNERS) {
         let address = context.members.borrow().address_of(owner);
         let Some(address) = address else { continue };
         let response = context
@@ -351,21 +360,22 @@
         match response {
             Ok(response) if response.endpoint.is_some() => {
                 let permit = HeldPermit::Peer(address, number);
-                if context.permits.borrow_mut().take_returned(number) {
-                    // The peer gave up waiting before the owner answered.
-                    end_permit(context, &permit, false);
+                if context.permits.borrow_mut().take_early_release(number) {
+                    // The peer stopped waiting before the owner responded.
+                    release_permit(context, &permit, false);
                     return None;
                 }
-                context.relayed.borrow_mut().put(number, address);
+                context.relayed_slots.borrow_mut().put(number, address);
                 return Some(response);
             }
             Ok(_) => {}
-            Err(_) => end_permit(context, &HeldPermit::Peer(address, number), false),
+            Err(_) => release_permit(context, &HeldPermit::Peer(address, number), false),
         }
     }
     None
 }
 
+/// Requests a slot from one owner and records its free slots.
 async fn send_request(
     context: &rc::Rc<context::ProcessContext>,
     owner: &ids::InstanceId,
@@ -387,8 +397,8 @@
             Err(e) => {
                 count_permit(context, "silent");
                 set_free_slots(context, owner, service, 0);
-                // The grant may come late: it must not hold a place until it expires.
-                end_permit(context, &HeldPermit::Peer(address, number), false);
+                // The owner may still grant the slot, which would be held until it expires.
+                release_permit(context, &HeldPermit::Peer(address, number), false);
                 log::info!("event=owner_silent owner={owner} why=\"{e}\"");
                 return OwnerReply::None(SlotReply::Silent);
             }
@@ -405,12 +415,13 @@
         count_permit(context, "full");
         return OwnerReply::None(SlotReply::Full(response.free_queue_slots));
     }
-    match take_answer(context, owner, response, permit) {
+    match accept_response(context, owner, response, permit) {
         Some(slot) => OwnerReply::Slot(slot),
         None => OwnerReply::None(SlotReply::Silent),
     }
 }
 
+/// Records the number of free slots that an owner has for a service.
 fn set_free_slots(
     context: &context::ProcessContext,
     owner: &ids::InstanceId,
@@ -425,8 +436,10 @@
     context.metrics.permits.with_label_values(&[outcome]).inc();
 }
 
-/// The place that an answer gives, if its endpoint is listed here.
-fn take_answer(
+/// Returns the slot granted by a response, if its endpoint is listed here.
+///
+/// Otherwise the permit is released.
+fn accept_response(
     context: &rc::Rc<context::ProcessContext>,
     from: &ids::InstanceId,
     response: peers::OnlineSlotResponse,
@@ -435,8 +448,10 @@
     let id = response.endpoint?;
     let found = context.fleet.directory.borrow().usable(&id).cloned();
     let Some(endpoint) = found else {
-        log::info!("event=place_refused endpoint={id} from={from} why=\"not listed here\"");
-        end_permit(context, &permit, false);
+        log::info!(
+            "event=place_refused endpoint={id} from={from} why=\"the endpoint is not listed here\""
+        );
+        release_permit(context, &permit, false);
         return None;
     };
     count_permit(context, "granted");
@@ -446,12 +461,12 @@
         endpoint,
         permit: Some(permit),
         is_served: cell::Cell::new(false),
-        taken: context.clock.now(),
+        acquired_at: context.clock.now(),
     })
 }
 
-/// Gives a permit back.
-fn end_permit(context: &context::ProcessContext, permit: &HeldPermit, is_served: bool) {
+/// Releases a permit at the process that granted it.
+fn release_permit(context: &context::ProcessContext, permit: &HeldPermit, is_served: bool) {
     let release = |number| peers::SlotRelease { number, is_served };
     match *permit {
         HeldPermit::Here(number) => peer_calls::release(context, release(number)),
