--- a/src/bin/jayhollow-bench.rs
+++ b/src/bin/jayhollow-bench.rs
@@ -1,4 +1,4 @@
-//! The bench's program.
+//! Executable of the benchmarks.
 
 fn main() -> std::process::ExitCode {
     jayhollow::bench::run()
--- a/src/bin/jayhollow-dispatcher.rs
+++ b/src/bin/jayhollow-dispatcher.rs
@@ -1,10 +1,10 @@
-//! The dispatcher's program.
+//! Executable of the dispatcher.
 
 use clap::Parser;
 use jayhollow::{daemon, dispatcher, link, settings};
 use miette::IntoDiagnostic as _;
 
-/// Owns endpoints, grants permits, runs batch work.
+/// Dispatcher: owns endpoints, issues permits and runs batch work.
 #[derive(Debug, Parser)]
 #[command(version)]
 struct DispatcherFlags {
--- a/src/bin/jayhollow-gateway.rs
+++ b/src/bin/jayhollow-gateway.rs
@@ -1,10 +1,10 @@
-//! The gateway's program.
+//! Executable of the gateway.
 
 use clap::Parser;
 use jayhollow::{daemon, gateway, link, settings};
 use miette::IntoDiagnostic as _;
 
-/// Answers callers and operators.
+/// Gateway: serves the API for callers and operators.
 #[derive(Debug, Parser)]
 #[command(version)]
 struct GatewayFlags {
--- a/src/bin/jayhollow-standin.rs
+++ b/src/bin/jayhollow-standin.rs
@@ -1,10 +1,10 @@
-//! The stand-ins' program: one outside system per process.
+//! Executable of the stand-ins; each process simulates one external system.
 
 use clap::Parser;
 use jayhollow::{daemon, settings, standin};
 use miette::IntoDiagnostic as _;
 
-/// Plays the object service, a model engine or a plain service.
+/// Stand-in: simulates the object service, a model engine or a plain service.
 #[derive(Debug, Parser)]
 #[command(version)]
 struct StandinFlags {
--- a/src/bin/jayhollow.rs
+++ b/src/bin/jayhollow.rs
@@ -1,4 +1,4 @@
-//! The command line's program.
+//! Executable of the command line.
 
 fn main() -> std::process::ExitCode {
     jayhollow::cli::run(jayhollow::dev::run)
--- a/src/cli/bundle_commands.rs
+++ b/src/cli/bundle_commands.rs
@@ -1,49 +1,49 @@
-//! `jayhollow bundle`.
+//! Subcommands of `jayhollow bundle`.
 
 use std::{fs, path};
 
 use super::{client, output, CommandError, CommandResult, GatewayProfile};
 use crate::bundle;
 
-/// What can be done with bundles.
+/// Subcommands of `jayhollow bundle`.
 #[derive(Debug, clap::Subcommand)]
 pub enum BundleCommand {
-    /// Check a bundle without sending it anywhere.
+    /// Check a bundle locally, without a gateway.
     Check {
-        /// The bundle, in JSON.
+        /// Bundle file, in JSON.
         file: path::PathBuf,
     },
     /// Propose a bundle as the next generation.
     Submit {
-        /// The bundle, in JSON.
+        /// Bundle file, in JSON.
         file: path::PathBuf,
-        /// Generation that you started from; a newer one is a conflict.
+        /// Generation that the bundle is based on; if a newer one exists, the submission conflicts.
         #[arg(long)]
         parent: Option<u64>,
     },
-    /// Accept a proposed bundle; it goes into force everywhere.
+    /// Accept a proposed bundle, which then becomes active everywhere.
     SignOff {
-        /// Its generation.
+        /// Generation of the bundle.
         generation: u64,
     },
-    /// Drop a proposed bundle.
+    /// Discard a proposed bundle.
     Discard {
-        /// Its generation.
+        /// Generation of the bundle.
         generation: u64,
     },
-    /// Show which generation is in force where.
+    /// Show the accepted generation and the instances on which it is active.
     Status,
-    /// Print the hash of an API key, as a bundle holds it.
+    /// Print the hash of an API key in the form that a bundle contains.
     HashKey {
-        /// The key.
+        /// API key.
         api_key: String,
     },
 }
 
-/// Runs a command.
+/// Runs a subcommand of `jayhollow bundle`.
 ///
 /// # Errors
-/// The bundle has faults, or the gateway cannot be reached or refuses.
+/// The bundle has faults, or the gateway cannot be reached or refuses the request.
 pub async fn run(profile: &GatewayProfile, command: &BundleCommand) -> CommandResult<()> {
     let client = client::ApiClient::new(profile);
     match command {
@@ -118,8 +118,8 @@
     let mut deserializer = serde_json::Deserializer::from_slice(&text);
     let document: bundle::BundleDocument = serde_path_to_error::deserialize(&mut deserializer)
         .map_err(|e| {
-            let at = e.path().to_string();
-            CommandError::failed(format!("{} at '{at}': {}", file.display(), e.into_inner()))
+            let key = e.path().to_string();
+            CommandError::failed(format!("{} at '{key}': {}", file.display(), e.into_inner()))
         })?;
     let faults = document.faults();
     let rows: Vec<serde_json::Value> = faults
--- a/src/cli/client.rs
+++ b/src/cli/client.rs
@@ -7,12 +7,12 @@
 use super::{CommandError, CommandResult, ExitReason, GatewayProfile};
 use crate::{error, gateway::operators, http_client};
 
-/// Longest wait for an answer.
+/// Maximum wait for a response.
 const TIMEOUT: time::Duration = time::Duration::from_secs(120);
-/// Largest answer read, in bytes.
-const MAX_ANSWER_BYTES: usize = 1 << 30;
+/// Maximum size of a response body, in bytes.
+const MAX_RESPONSE_BYTES: usize = 1 << 30;
 
-/// A client of a gateway's API.
+/// Client of a gateway's HTTP API.
 pub struct ApiClient {
     client: awc::Client,
     url: String,
@@ -20,22 +20,22 @@
     operator: String,
 }
 
-/// A request of the command line.
+/// Request to a gateway's HTTP API.
 pub struct ApiCall<'a> {
-    /// Method of HTTP.
+    /// HTTP method.
     pub method: Method,
-    /// Path and query.
+    /// Path and query string.
     pub path: &'a str,
     /// Content type of the body.
     pub content_type: &'a str,
-    /// Idempotency key, if any.
+    /// Value of the `idempotency-key` header, if any.
     pub idempotency_key: Option<&'a str>,
-    /// The body.
+    /// Request body.
     pub body: Vec<u8>,
 }
 
 impl ApiClient {
-    /// A client for the thread that it is made on.
+    /// Creates a client; it can be used only on the thread that creates it.
     pub fn new(profile: &GatewayProfile) -> Self {
         Self {
             client: http_client::new_client(0),
@@ -45,18 +45,18 @@
         }
     }
 
-    /// Reads JSON from a path.
+    /// Sends a GET request and parses the response as JSON.
     ///
     /// # Errors
-    /// The gateway cannot be reached or refuses.
+    /// The gateway cannot be reached or refuses the request.
     pub async fn get(&self, path: &str) -> CommandResult<serde_json::Value> {
         parse(&self.fetch(path).await?)
     }
 
-    /// Reads bytes from a path.
+    /// Sends a GET request and returns the response body.
     ///
     /// # Errors
-    /// The gateway cannot be reached or refuses.
+    /// The gateway cannot be reached or refuses the request.
     pub async fn fetch(&self, path: &str) -> CommandResult<bytes::Bytes> {
         self.send(ApiCall {
             method: Method::GET,
@@ -68,10 +68,10 @@
         .await
     }
 
-    /// Posts JSON to a path.
+    /// Sends a POST request with a JSON body and parses the response as JSON.
     ///
     /// # Errors
-    /// The gateway cannot be reached or refuses.
+    /// The gateway cannot be reached or refuses the request.
     pub async fn post(&self, path: &str, body: Vec<u8>) -> CommandResult<serde_json::Value> {
         let call = ApiCall {
             method: Method::POST,
@@ -83,10 +83,10 @@
         parse(&self.send(call).await?)
     }
 
-    /// Sends a request and reads the whole answer.
+    /// Sends a request and returns the whole response body.
     ///
     /// # Errors
-    /// The gateway cannot be reached or refuses.
+    /// The gateway cannot be reached or refuses the request.
     pub async fn send(&self, call: ApiCall<'_>) -> CommandResult<bytes::Bytes> {
         let url = format!("{}{}", self.url, call.path);
         let mut request = self
@@ -99,39 +99,39 @@
         if let Some(key) = call.idempotency_key {
             request = request.insert_header(("idempotency-key", key));
         }
-        let unreachable = |why: String| CommandError {
+        let unreachable = |reason: String| CommandError {
             reason: ExitReason::Unreachable,
-            message: format!("{url} cannot be reached: {why}"),
+            message: format!("{url} cannot be reached: {reason}"),
         };
         let mut response = request
             .send_body(call.body)
             .await
             .map_err(|e| unreachable(e.to_string()))?;
-        let body = response.body().limit(MAX_ANSWER_BYTES).await;
+        let body = response.body().limit(MAX_RESPONSE_BYTES).await;
         let body = body.map_err(|e| unreachable(e.to_string()))?;
         if response.status().is_success() {
             return Ok(body);
         }
-        Err(refusal(response.status(), &body))
+        Err(refusal_error(response.status(), &body))
     }
 }
 
-/// Parses an answer.
+/// Parses a response body.
 ///
 /// # Errors
-/// It is not JSON.
+/// The body is not JSON.
 pub fn parse(body: &[u8]) -> CommandResult<serde_json::Value> {
     serde_json::from_slice(body).map_err(CommandError::failed)
 }
 
-fn refusal(status: StatusCode, body: &[u8]) -> CommandError {
+fn refusal_error(status: StatusCode, body: &[u8]) -> CommandError {
     let reason = match status {
         StatusCode::CONFLICT => ExitReason::Conflict,
         _ => ExitReason::Refused,
     };
     let message = match serde_json::from_slice::<error::ErrorBody>(body) {
         Ok(parsed) => format!("{}: {}", parsed.error.code.as_str(), parsed.error.message),
-        Err(_) => format!("the gateway answered {status}"),
+        Err(_) => format!("the gateway responded with {status}"),
     };
     CommandError { reason, message }
 }
--- a/src/cli/config_commands.rs
+++ b/src/cli/config_commands.rs
@@ -1,54 +1,54 @@
-//! `jayhollow config`.
+//! Subcommands of `jayhollow config`.
 
 use std::path;
 
 use super::{CommandError, CommandResult};
 use crate::{bundle, settings};
 
-/// What can be done with settings.
+/// Subcommands of `jayhollow config`.
 #[derive(Debug, clap::Subcommand)]
 pub enum ConfigCommand {
-    /// Print the settings that are in force for a file, defaults included.
+    /// Print the effective settings of a file, defaults included.
     Show {
-        /// Whose settings they are.
+        /// Kind of settings.
         #[arg(value_enum)]
         role: SettingsRole,
-        /// The settings file.
+        /// Settings file, in JSON.
         file: path::PathBuf,
     },
-    /// Print all keys of a kind of settings, as they stand in the docs.
+    /// Print all keys of a kind of settings as a Markdown table.
     Table {
-        /// Whose settings they are.
+        /// Kind of settings.
         #[arg(value_enum)]
         role: SettingsRole,
     },
     /// Print the JSON schema of a kind of settings.
     Schema {
-        /// Whose settings they are.
+        /// Kind of settings.
         #[arg(value_enum)]
         role: SettingsRole,
     },
 }
 
-/// Kinds of settings.
+/// Kinds of settings, by the program that reads them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, clap::ValueEnum)]
 pub enum SettingsRole {
-    /// `jayhollow-gateway`.
+    /// Settings of `jayhollow-gateway`.
     Gateway,
-    /// `jayhollow-dispatcher`.
+    /// Settings of `jayhollow-dispatcher`.
     Dispatcher,
-    /// `jayhollow-standin`.
+    /// Settings of `jayhollow-standin`.
     Standin,
-    /// The command line `jayhollow`.
+    /// Settings of the command line `jayhollow`.
     Client,
-    /// Bundles; only their schema can be printed.
+    /// Bundle document; it has a schema and a table, but no settings to show.
     Bundle,
 }
 
-/// Runs a command.
+/// Runs a subcommand of `jayhollow config`.
 ///
 /// # Errors
-/// The settings are refused.
+/// The settings file cannot be read or is invalid.
 pub fn run(command: &ConfigCommand) -> CommandResult<()> {
     match command {
         ConfigCommand::Show { role, file } => println!("{}", show(*role, file)?),
@@ -74,13 +74,13 @@
     }
 }
 
-/// All keys of a kind of settings, as a table in Markdown.
+/// Returns all keys of a kind of settings as a Markdown table, as in `docs/settings.md`.
 pub fn table(role: SettingsRole) -> String {
     let schema = serde_json::from_str(&schema(role)).unwrap_or_default();
     settings::table::markdown(&schema)
 }
 
-/// The JSON schema of a kind of settings, as it stands under `docs/schema/`.
+/// Returns the JSON schema of a kind of settings, as in `docs/schema/`.
 pub fn schema(role: SettingsRole) -> String {
     let schema = match role {
         SettingsRole::Gateway => schemars::schema_for!(settings::gateway::GatewaySettings),
--- a/src/cli/explain_command.rs
+++ b/src/cli/explain_command.rs
@@ -1,4 +1,4 @@
-//! `jayhollow explain`: from logs to the path of a request, or to what was lost.
+//! Command `jayhollow explain`: traces a request through logs, or reports losses.
 
 use std::{fs, io, path};
 
@@ -11,66 +11,66 @@
 /// Flags of `jayhollow explain`.
 #[derive(Debug, Clone, clap::Args)]
 pub struct ExplainFlags {
-    /// Logs of processes, one or many files; standard input if none is named.
+    /// Log files of one or more processes; standard input if none is given.
     #[arg(value_name = "LOG")]
     pub logs: Vec<path::PathBuf>,
-    /// Name of a request, job, item or endpoint whose path to print.
+    /// ID of the request, job, item or endpoint to trace.
     #[arg(long)]
     pub id: Option<String>,
-    /// Begin of the span to report on: a time, or seconds after the first line.
+    /// Start of the period to report on: a time, or seconds after the first log line.
     #[arg(long, conflicts_with = "id")]
-    pub from: Option<SpanEdge>,
-    /// End of the span.
+    pub from: Option<PeriodBound>,
+    /// End of the period to report on, in the same forms.
     #[arg(long, conflicts_with = "id")]
-    pub to: Option<SpanEdge>,
-    /// Reports on each so many seconds of the span by themselves.
+    pub to: Option<PeriodBound>,
+    /// Length in seconds of the steps to report on separately.
     #[arg(long, value_name = "SECONDS", conflicts_with = "id")]
-    pub each: Option<StepLength>,
+    pub each: Option<StepDuration>,
 }
 
-/// Length of the steps in which a span is reported on.
+/// Length of the steps into which a period is divided, in seconds.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct StepLength(f64);
+pub struct StepDuration(f64);
 
-impl std::str::FromStr for StepLength {
+impl std::str::FromStr for StepDuration {
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         match text.parse::<f64>() {
-            Ok(seconds) if (LEAST_STEP_S..).contains(&seconds) => Ok(Self(seconds)),
+            Ok(seconds) if (MIN_STEP_S..).contains(&seconds) => Ok(Self(seconds)),
             _ => Err(format!(
-                "it is not a number of seconds from {LEAST_STEP_S} on"
+                "expected a number of seconds, at least {MIN_STEP_S}"
             )),
         }
     }
 }
 
-/// Shortest step, in seconds: an hour of logs makes 36,000 of them.
-const LEAST_STEP_S: f64 = 0.1;
+/// Minimum step length, in seconds; an hour of logs then has 36,000 steps.
+const MIN_STEP_S: f64 = 0.1;
 
-/// An end of a span of time.
+/// Start or end of a period of time.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum SpanEdge {
+pub enum PeriodBound {
     /// A time of day.
     Time(LogTime),
-    /// Seconds after the first line of the logs.
+    /// Seconds after the first log line.
     Seconds(f64),
 }
 
-impl std::str::FromStr for SpanEdge {
+impl std::str::FromStr for PeriodBound {
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         match (text.parse::<f64>(), text.parse()) {
             (Ok(seconds), _) if seconds >= 0.0 => Ok(Self::Seconds(seconds)),
             (_, Ok(time)) => Ok(Self::Time(time)),
-            (_, Err(e)) => Err(format!("{e}, nor a number of seconds from 0 on")),
+            (_, Err(e)) => Err(format!("{e}, nor a number of seconds of at least 0")),
         }
     }
 }
 
-impl SpanEdge {
-    fn after(self, first: LogTime) -> LogTime {
+impl PeriodBound {
+    fn resolve(self, first: LogTime) -> LogTime {
         match self {
             Self::Time(time) => time,
             Self::Seconds(seconds) => first.plus_seconds(seconds),
@@ -78,19 +78,21 @@
     }
 }
 
-/// Runs the command.
+/// Runs `jayhollow explain`.
 ///
 /// # Errors
-/// A log cannot be read, holds no line of this project, or nothing has that name.
+/// A log file cannot be read, the logs contain no jayhollow lines, or no line mentions the ID.
 pub fn run(flags: &ExplainFlags, form: output::OutputForm) -> CommandResult<()> {
     let lines = read_logs(&flags.logs)?;
     let first = lines.iter().map(|line| line.at).min();
-    let first = first.ok_or_else(|| CommandError::failed("the logs hold no line of jayhollow"))?;
+    let first = first.ok_or_else(|| CommandError::failed("the logs contain no jayhollow lines"))?;
     match &flags.id {
-        Some(id) => print_path(&lines, id, form),
+        Some(id) => print_trace(&lines, id, form),
         None => {
-            let from = flags.from.map_or(first, |edge| edge.after(first));
-            let to = flags.to.map_or(LogTime(u64::MAX), |edge| edge.after(first));
+            let from = flags.from.map_or(first, |bound| bound.resolve(first));
+            let to = flags
+                .to
+                .map_or(LogTime(u64::MAX), |bound| bound.resolve(first));
             match flags.each {
                 Some(step) => print_steps(&lines, from, to, step, form),
                 None => print_losses(&loss_report::report(&lines, from, to), form),
@@ -122,33 +124,34 @@
     Ok(())
 }
 
-fn print_path(lines: &[LogLine], id: &str, form: output::OutputForm) -> CommandResult<()> {
-    let path = trace::trace(lines, id);
-    let Some(first) = path.first() else {
-        let message = format!("no line names {id}: no process read it, or its log is missing");
+fn print_trace(lines: &[LogLine], id: &str, form: output::OutputForm) -> CommandResult<()> {
+    let trace = trace::trace(lines, id);
+    let Some(first) = trace.first() else {
+        let message =
+            format!("no log line mentions {id}: no process handled it, or a log file is missing");
         return Err(CommandError::failed(message));
     };
-    let begun = first.at;
-    let rows: Vec<_> = path.iter().map(|line| path_row(line, begun)).collect();
+    let start = first.at;
+    let rows: Vec<_> = trace.iter().map(|line| trace_row(line, start)).collect();
     let fields = ["time", "after_ms", "process", "event", "fields"];
-    output::print(form, &serde_json::json!(path), &rows, &fields);
+    output::print(form, &serde_json::json!(trace), &rows, &fields);
     Ok(())
 }
 
-fn path_row(line: &LogLine, begun: LogTime) -> serde_json::Value {
-    let after_ms = line.at.since(begun).as_micros() as f64 / 1000.0;
+fn trace_row(line: &LogLine, start: LogTime) -> serde_json::Value {
+    let after_ms = line.at.since(start).as_micros() as f64 / 1000.0;
     serde_json::json!({
         "time": line.at.to_string(), "after_ms": after_ms, "process": line.process,
         "event": line.event, "fields": line.details(),
     })
 }
 
-/// Prints what was lost in each step of a span.
+/// Prints the losses in each step of a period.
 fn print_steps(
     lines: &[LogLine],
     from: LogTime,
     to: LogTime,
-    step: StepLength,
+    step: StepDuration,
     form: output::OutputForm,
 ) {
     let last = lines.iter().map(|line| line.at).max().unwrap_or(from);
@@ -185,7 +188,7 @@
     rows
 }
 
-fn total_row(name: &str, in_time: usize, all: usize) -> serde_json::Value {
-    let cause = format!("in time: {in_time} of {all}");
-    serde_json::json!({"route": name, "cause": cause, "count": all - in_time})
+fn total_row(name: &str, in_time: usize, total: usize) -> serde_json::Value {
+    let cause = format!("in time: {in_time} of {total}");
+    serde_json::json!({"route": name, "cause": cause, "count": total - in_time})
 }
--- a/src/cli/instance_commands.rs
+++ b/src/cli/instance_commands.rs
@@ -1,23 +1,23 @@
-//! `jayhollow instance`.
+//! Subcommands of `jayhollow instance`.
 
 use super::{client, output, CommandResult, GatewayProfile};
 
-/// What can be done with instances.
+/// Subcommands of `jayhollow instance`.
 #[derive(Debug, clap::Subcommand)]
 pub enum InstanceCommand {
     /// List the live instances.
     List,
-    /// Stop an instance as planned: it finishes every request first.
+    /// Stop an instance gracefully: it finishes its requests first.
     Stop {
-        /// Its name.
+        /// Name of the instance.
         id: String,
     },
 }
 
-/// Runs a command.
+/// Runs a subcommand of `jayhollow instance`.
 ///
 /// # Errors
-/// The gateway cannot be reached or refuses.
+/// The gateway cannot be reached or refuses the request.
 pub async fn run(profile: &GatewayProfile, command: &InstanceCommand) -> CommandResult<()> {
     let client = client::ApiClient::new(profile);
     match command {
--- a/src/cli/job_commands.rs
+++ b/src/cli/job_commands.rs
@@ -1,41 +1,41 @@
-//! `jayhollow job`.
+//! Subcommands of `jayhollow job`.
 
 use std::{fs, io, io::IsTerminal as _, io::Write as _, path, time};
 
 use super::{client, output, CommandError, CommandResult, GatewayProfile};
 use crate::ids;
 
-/// Pause between looks at a job that is waited for.
-const WAIT_PAUSE: time::Duration = time::Duration::from_millis(500);
-/// Boundary of the multipart body; random enough not to stand in a file.
+/// Interval between status requests while waiting for a job to end.
+const POLL_INTERVAL: time::Duration = time::Duration::from_millis(500);
+/// Prefix of the multipart boundary; a random suffix keeps it from occurring in a file.
 const BOUNDARY_PREFIX: &str = "jayhollow-boundary";
 
-/// What can be done with batch jobs.
+/// Subcommands of `jayhollow job`.
 #[derive(Debug, clap::Subcommand)]
 pub enum JobCommand {
     /// Upload a file of items and submit it as a job.
     Submit(SubmitFlags),
-    /// Show a job.
+    /// Show the status of a job.
     Status {
-        /// Its name.
+        /// ID of the job.
         id: String,
     },
-    /// List the workspace's jobs, the newest first.
+    /// List the workspace's jobs, newest first.
     List,
-    /// Fetch the answers of a job that has ended.
+    /// Fetch the results of a job that has ended.
     Results {
-        /// Its name.
+        /// ID of the job.
         id: String,
-        /// Fetch the errors instead.
+        /// Fetch the errors instead of the results.
         #[arg(long)]
         errors: bool,
-        /// Write to a file rather than to standard output.
+        /// Write to a file instead of standard output.
         #[arg(long, value_name = "FILE")]
         to: Option<path::PathBuf>,
     },
     /// Cancel a job.
     Cancel {
-        /// Its name.
+        /// ID of the job.
         id: String,
     },
 }
@@ -43,15 +43,15 @@
 /// Flags of `jayhollow job submit`.
 #[derive(Debug, clap::Args)]
 pub struct SubmitFlags {
-    /// Items, a line of JSON each.
+    /// File with one item per line, in JSON.
     pub file: path::PathBuf,
-    /// Path that the items are for.
+    /// API path to which the items are sent.
     #[arg(long, default_value = "/v1/chat/completions")]
     pub endpoint: String,
-    /// When the job is due, from now: like 24h or 90m.
+    /// Time from now until the job is due, such as 24h or 90m.
     #[arg(long, default_value = "24h")]
     pub window: String,
-    /// Names the submission: sent again with the same key it is the same job.
+    /// Key of the submission; a repeated submission with the same key returns the same job.
     #[arg(long)]
     pub idempotency_key: Option<String>,
     /// Wait until the job has ended.
@@ -68,10 +68,10 @@
     "due_verdict",
 ];
 
-/// Runs a command.
+/// Runs a subcommand of `jayhollow job`.
 ///
 /// # Errors
-/// A file cannot be read or written, or the gateway cannot be reached or refuses.
+/// A file cannot be read or written, or the gateway cannot be reached or refuses the request.
 pub async fn run(profile: &GatewayProfile, command: &JobCommand) -> CommandResult<()> {
     let client = client::ApiClient::new(profile);
     let show = |job: &serde_json::Value| {
@@ -92,7 +92,7 @@
             output::print(profile.output, &response, &rows, &JOB_FIELDS);
         }
         JobCommand::Results { id, errors, to } => {
-            results(&client, id, *errors, to.as_deref()).await?;
+            fetch_results(&client, id, *errors, to.as_deref()).await?;
         }
         JobCommand::Cancel { id } => {
             show(
@@ -105,10 +105,10 @@
     Ok(())
 }
 
-/// Uploads a file and creates a job from it.
+/// Uploads a file of items and creates a job from it.
 ///
 /// # Errors
-/// The file cannot be read, or the gateway cannot be reached or refuses.
+/// The file cannot be read, or the gateway cannot be reached or refuses the request.
 pub async fn submit(
     client: &client::ApiClient,
     flags: &SubmitFlags,
@@ -122,7 +122,7 @@
 /// Uploads items and creates a job from them.
 ///
 /// # Errors
-/// The gateway cannot be reached or refuses.
+/// The gateway cannot be reached or refuses the request.
 pub async fn submit_items(
     client: &client::ApiClient,
     items: &[u8],
@@ -146,10 +146,10 @@
     client::parse(&client.send(call).await?)
 }
 
-/// Uploads items as a file.
+/// Uploads items as a file in a multipart request.
 ///
 /// # Errors
-/// The gateway cannot be reached or refuses.
+/// The gateway cannot be reached or refuses the request.
 pub async fn upload(client: &client::ApiClient, items: &[u8]) -> CommandResult<serde_json::Value> {
     let boundary = ids::unique(BOUNDARY_PREFIX);
     let mut body = Vec::with_capacity(items.len() + 512);
@@ -173,10 +173,10 @@
     client::parse(&client.send(call).await?)
 }
 
-/// Waits until a job has ended, with a progress bar on a terminal.
+/// Polls a job until it has ended; shows a progress bar if standard error is a terminal.
 ///
 /// # Errors
-/// The gateway cannot be reached or refuses.
+/// The gateway cannot be reached or refuses the request.
 pub async fn wait(
     client: &client::ApiClient,
     job: &serde_json::Value,
@@ -197,11 +197,11 @@
             bar.finish_and_clear();
             return Ok(job);
         }
-        actix_rt::time::sleep(WAIT_PAUSE).await;
+        actix_rt::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-async fn results(
+async fn fetch_results(
     client: &client::ApiClient,
     id: &str,
     errors: bool,
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -18,43 +18,43 @@
 #[derive(Debug, Parser)]
 #[command(name = "jayhollow", version)]
 pub struct CommandLine {
-    /// How to reach a gateway, and how to print.
+    /// Flags for the connection to a gateway and for the output.
     #[command(flatten)]
     pub profile: ProfileFlags,
-    /// What to do.
+    /// Command to run; without one, the help text is printed.
     #[command(subcommand)]
     pub command: Option<TopCommand>,
 }
 
-/// How a gateway is reached, and how answers are printed.
+/// Flags for the connection to a gateway and for the output.
 #[derive(Debug, clap::Args)]
 pub struct ProfileFlags {
     /// Settings file of the command line, in JSON.
     #[arg(long, global = true, value_name = "FILE", env = "JAYHOLLOW_CONFIG")]
     pub config: Option<path::PathBuf>,
-    /// Check the settings file, print what would be in force, and exit.
+    /// Check the settings file, print the effective settings, and exit.
     #[arg(long, global = true)]
     pub check_config: bool,
-    /// Least severe events to log.
+    /// Minimum severity of logged events.
     #[arg(long, global = true, default_value = "warn")]
     pub log_level: log::LevelFilter,
-    /// Address of a gateway; http://127.0.0.1:8080 if none is set.
+    /// URL of a gateway; http://127.0.0.1:8080 by default.
     #[arg(long, global = true, env = "JAYHOLLOW_URL")]
     pub url: Option<String>,
     /// API key of a workspace, or an operator's key for bundles and instances.
     #[arg(long, global = true, env = "JAYHOLLOW_KEY", hide_env_values = true)]
     pub key: Option<String>,
-    /// Name that goes on the record of bundle steps.
+    /// Operator name recorded with each change to a bundle.
     #[arg(long, global = true, env = "JAYHOLLOW_OPERATOR")]
     pub operator: Option<String>,
-    /// Form of the output.
+    /// Output format.
     #[arg(long, global = true, value_enum, default_value_t = output::OutputForm::Table)]
     pub output: output::OutputForm,
 }
 
-/// Address of a gateway if none is set.
+/// URL of the gateway if none is set.
 const DEFAULT_URL: &str = "http://127.0.0.1:8080";
-/// Name of an operator if none is set.
+/// Name of the operator if none is set.
 const DEFAULT_OPERATOR: &str = "operator";
 
 impl ProfileFlags {
@@ -65,15 +65,15 @@
         }
     }
 
-    /// The reach that flags, environment, settings and defaults make together.
+    /// Merges flags, environment, settings file and defaults, in this order of precedence.
     fn resolve(&self) -> CommandResult<GatewayProfile> {
         let settings = self.settings()?;
         let read = |file: &path::PathBuf| {
             let text = std::fs::read_to_string(file);
             text.map_err(|e| CommandError::failed(format!("{}: {e}", file.display())))
         };
-        let kept = settings.key_file.as_ref().map(read).transpose()?;
-        let key = self.key.clone().or(kept).unwrap_or_default();
+        let file_key = settings.key_file.as_ref().map(read).transpose()?;
+        let key = self.key.clone().or(file_key).unwrap_or_default();
         let url = self.url.clone().or(settings.url);
         let operator = self.operator.clone().or(settings.operator);
         Ok(GatewayProfile {
@@ -85,42 +85,42 @@
     }
 }
 
-/// How a gateway is reached, and how answers are printed.
+/// Resolved settings for the connection to a gateway and for the output.
 #[derive(Debug, Clone)]
 pub struct GatewayProfile {
-    /// Address of a gateway.
+    /// URL of the gateway.
     pub url: String,
-    /// Key.
+    /// API key of a workspace or an operator's key; empty if none is set.
     pub key: String,
-    /// Name of the operator.
+    /// Operator name recorded with each change to a bundle.
     pub operator: String,
-    /// Form of the output.
+    /// Output format.
     pub output: output::OutputForm,
 }
 
-/// What the command line can do.
+/// Commands of `jayhollow`.
 #[derive(Debug, clap::Subcommand)]
 pub enum TopCommand {
-    /// Run everything in one process, on embedded stand-ins.
+    /// Run the whole system in one process, with embedded stand-ins.
     Dev(DevFlags),
-    /// Check, submit and sign off bundles, and see where they are in force.
+    /// Check, submit and sign off bundles, and show where they are active.
     #[command(subcommand)]
     Bundle(bundle_commands::BundleCommand),
-    /// Submit batch jobs, follow them, fetch their results, cancel them.
+    /// Submit and cancel batch jobs, show their status and fetch their results.
     #[command(subcommand)]
     Job(job_commands::JobCommand),
-    /// See the instances and stop one as planned.
+    /// List the live instances, or stop one gracefully.
     #[command(subcommand)]
     Instance(instance_commands::InstanceCommand),
     /// Show settings and their schemas.
     #[command(subcommand)]
     Config(config_commands::ConfigCommand),
-    /// Read logs: the path of one request or job over all processes, or what
-    /// was late or lost in a span of time, by cause.
+    /// Analyse logs: trace one request or job through all processes, or report
+    /// what was late or lost in a period of time, by cause.
     Explain(explain_command::ExplainFlags),
     /// Print a completion script for a shell.
     Completions {
-        /// The shell.
+        /// Shell to complete for.
         shell: clap_complete::Shell,
     },
 }
@@ -128,42 +128,42 @@
 /// Flags of `jayhollow dev`.
 #[derive(Debug, Clone, clap::Args)]
 pub struct DevFlags {
-    /// IP number and port for callers.
+    /// IP address and port on which the gateway accepts callers.
     #[arg(long, default_value = "127.0.0.1:8080")]
     pub listen: net::SocketAddr,
-    /// Folder that keeps jobs, files and bundles over restarts.
+    /// Directory in which jobs, files and bundles persist across restarts.
     #[arg(long, value_name = "DIR")]
     pub data: Option<path::PathBuf>,
-    /// Do one call of each kind, say how each went, and exit.
+    /// Make one call of each kind, print the outcomes, and exit.
     #[arg(long)]
     pub smoke: bool,
 }
 
-/// Exit codes of the command line, beside 0 and clap's 2 for wrong usage.
+/// Exit codes of the command line, besides 0 for success and clap's 2 for wrong usage.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExitReason {
-    /// Something failed here.
+    /// The command failed locally, without a refusal by the gateway.
     Failed = 1,
     /// The gateway refused the request.
     Refused = 3,
     /// The gateway cannot be reached.
     Unreachable = 4,
-    /// Another operator or submission was first.
+    /// The request conflicts with one that another operator or submission made earlier.
     Conflict = 5,
 }
 
-/// Why a command did not do what was asked.
+/// Error of a command, with its exit code.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 #[error("{message}")]
 pub struct CommandError {
-    /// What to exit with.
+    /// Exit code.
     pub reason: ExitReason,
-    /// For a person to read.
+    /// Message for the user.
     pub message: String,
 }
 
 impl CommandError {
-    /// A failure on this side.
+    /// Creates an error with the exit code `Failed`.
     pub fn failed(message: impl ToString) -> Self {
         Self {
             reason: ExitReason::Failed,
@@ -172,13 +172,15 @@
     }
 }
 
-/// Outcome of a command.
+/// Result of a command.
 pub type CommandResult<T> = Result<T, CommandError>;
 
-/// Runs the whole system in one process, for `dev`.
+/// Function that runs `jayhollow dev`.
 pub type DevRunner = fn(&DevFlags) -> CommandResult<()>;
 
-/// Runs the command line, `dev` by `run_dev`; gives what to exit with.
+/// Parses the arguments and runs the command; returns the exit code.
+///
+/// `run_dev` runs `jayhollow dev`.
 pub fn run(run_dev: DevRunner) -> process::ExitCode {
     let line = CommandLine::parse();
     match dispatch(line, run_dev) {
--- a/src/cli/output.rs
+++ b/src/cli/output.rs
@@ -1,15 +1,15 @@
-//! Printing of answers: as JSON, or as a table for people.
+//! Output of results, as JSON or as a table.
 
-/// Form of the output.
+/// Output format.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, clap::ValueEnum)]
 pub enum OutputForm {
-    /// For programs.
+    /// JSON, for programs.
     Json,
-    /// For people.
+    /// Table, for people.
     Table,
 }
 
-/// Prints a value: whole as JSON, or the named fields of its rows as a table.
+/// Prints the whole `value` as JSON, or the named fields of `rows` as a table.
 pub fn print(
     form: OutputForm,
     value: &serde_json::Value,
@@ -37,7 +37,7 @@
     table
 }
 
-/// The text of a field; `a.b` names a field within a field.
+/// Returns the text of a field; `a.b` names field `b` of the object in field `a`.
 fn cell(row: &serde_json::Value, field: &str) -> String {
     let found = field.split('.').fold(row, |value, name| &value[name]);
     match found {
--- a/src/settings/common.rs
+++ b/src/settings/common.rs
@@ -1,26 +1,26 @@
-//! Settings that gateways and dispatchers share.
+//! Settings common to gateways and dispatchers.
 
 use std::{net, path, time};
 
 use crate::{decisions::call_budget, ids};
 
-/// Who this process is.
+/// Identity of this process.
 #[derive(Debug, Clone, serde::Serialize, serde::Deserialize, schemars::JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct InstanceSettings {
-    /// Name of the instance; no two processes have the same.
+    /// Name of the instance; must be unique among all processes.
     pub id: ids::InstanceId,
-    /// Failure domain that it is in.
+    /// Failure domain of the instance.
     pub domain: ids::DomainName,
 }
 
-/// How the platform's object service is reached.
+/// Connection to the platform's object service.
 #[derive(Debug, Clone, serde::Serialize, serde::Deserialize, schemars::JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct StoreSettings {
-    /// Base of its addresses, like `http://127.0.0.1:7070`.
+    /// Base URL of the object service, such as `http://127.0.0.1:7070`.
     pub url: String,
-    /// Calls a second that this process may make.
+    /// Maximum number of calls per second from this process.
     #[serde(default = "default_store_rate")]
     pub calls_per_second: call_budget::CallRate,
 }
@@ -29,15 +29,15 @@
     call_budget::CallRate(200.0)
 }
 
-/// Links between the processes of the system.
+/// Connections between the processes of the system.
 #[derive(Debug, Clone, serde::Serialize, serde::Deserialize, schemars::JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct LinkSettings {
-    /// IP number and port that peers reach this process at.
+    /// IP address and port at which peers reach this process.
     pub listen: net::SocketAddr,
-    /// File with the secret that all processes share.
+    /// File that contains the secret shared by all processes.
     pub secret_file: path::PathBuf,
-    /// Longest wait for a permit, in milliseconds; then the gateway goes ahead.
+    /// Maximum wait for a permit, in milliseconds; the gateway then proceeds without one.
     #[serde(default = "default_permit_timeout")]
     pub permit_timeout_ms: u64,
 }
@@ -46,17 +46,17 @@
     30
 }
 
-/// How often the process looks and shows itself.
+/// Intervals of heartbeats, watches and polls.
 #[derive(Debug, Clone, serde::Serialize, serde::Deserialize, schemars::JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct PaceSettings {
-    /// Milliseconds between renewals of the process's lease.
+    /// Interval between renewals of the process's lease, in milliseconds.
     pub heartbeat_ms: u64,
-    /// Renewals missed until others take the process for gone.
+    /// Number of missed lease renewals after which the other processes consider this one gone.
     pub lapse_heartbeats: u32,
-    /// Least milliseconds between two answers of the watch.
+    /// Delay between a watch response and the next watch request, in milliseconds.
     pub watch_pace_ms: u64,
-    /// Milliseconds between readings of the platform's list of endpoints.
+    /// Interval between reads of the platform's list of endpoints, in milliseconds.
     pub endpoints_poll_ms: u64,
 }
 
@@ -72,32 +72,32 @@
 }
 
 impl PaceSettings {
-    /// Time between renewals.
+    /// Returns the interval between lease renewals.
     pub fn heartbeat(&self) -> time::Duration {
         time::Duration::from_millis(self.heartbeat_ms)
     }
 
-    /// Time without renewal after which an instance is taken for gone.
+    /// Returns the time without a renewal after which an instance is considered gone.
     pub fn lease_timeout(&self) -> time::Duration {
         self.heartbeat() * self.lapse_heartbeats
     }
 
-    /// The first value that is out of its range.
-    pub fn out_of_range(&self) -> Option<(String, String)> {
-        super::range_fault("pace.heartbeat_ms", self.heartbeat_ms, 50, 60_000)
+    /// Returns the key of the first value that is out of range, and what is allowed.
+    pub fn first_invalid(&self) -> Option<(String, String)> {
+        super::check_range("pace.heartbeat_ms", self.heartbeat_ms, 50, 60_000)
             .or_else(|| {
-                let lapses = u64::from(self.lapse_heartbeats);
-                super::range_fault("pace.lapse_heartbeats", lapses, 2, 100)
+                let missed = u64::from(self.lapse_heartbeats);
+                super::check_range("pace.lapse_heartbeats", missed, 2, 100)
             })
-            .or_else(|| super::range_fault("pace.watch_pace_ms", self.watch_pace_ms, 10, 5_000))
+            .or_else(|| super::check_range("pace.watch_pace_ms", self.watch_pace_ms, 10, 5_000))
             .or_else(|| {
-                super::range_fault("pace.endpoints_poll_ms", self.endpoints_poll_ms, 10, 5_000)
+                super::check_range("pace.endpoints_poll_ms", self.endpoints_poll_ms, 10, 5_000)
             })
     }
 }
 
-/// The first value of the store's settings that is out of its range.
-pub(super) fn store_fault(store: &StoreSettings) -> Option<(String, String)> {
+/// Returns the key of the first invalid value for the object service, and what is allowed.
+pub(super) fn check_store(store: &StoreSettings) -> Option<(String, String)> {
     if store.calls_per_second.0 < 1.0 {
         let found = format!("found {}, at least 1 is allowed", store.calls_per_second.0);
         return Some(("store.calls_per_second".into(), found));
@@ -105,6 +105,6 @@
     if url::Url::parse(&store.url).is_ok_and(|u| u.scheme() == "http") {
         return None;
     }
-    let found = format!("found '{}', an http:// address is allowed", store.url);
+    let found = format!("found '{}', an http:// URL is allowed", store.url);
     Some(("store.url".into(), found))
 }
--- a/src/settings/dispatcher.rs
+++ b/src/settings/dispatcher.rs
@@ -6,40 +6,40 @@
 #[derive(Debug, Clone, serde::Serialize, serde::Deserialize, schemars::JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct DispatcherSettings {
-    /// Who this process is.
+    /// Identity of this process.
     pub instance: common::InstanceSettings,
-    /// The platform's object service.
+    /// Connection to the platform's object service.
     pub store: common::StoreSettings,
-    /// Links to the other processes.
+    /// Connections to the other processes.
     pub link: common::LinkSettings,
-    /// How often the process looks and shows itself.
+    /// Intervals of heartbeats, watches and polls.
     #[serde(default)]
     pub pace: common::PaceSettings,
-    /// How batch work is run.
+    /// Limits and timing of batch work.
     #[serde(default)]
     pub batch: BatchSettings,
-    /// IP number and port of `/metrics`, `/healthz` and `/readyz`; none without it.
+    /// IP address and port of `/metrics`, `/healthz` and `/readyz`; if unset, they are not served.
     #[serde(default)]
     pub metrics_listen: Option<std::net::SocketAddr>,
 }
 
-/// How batch work is run.
+/// Limits and timing of batch work.
 #[derive(Debug, Clone, serde::Serialize, serde::Deserialize, schemars::JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct BatchSettings {
-    /// Sequences that an engine runs in one step at most.
+    /// Maximum number of sequences that an engine runs in one step.
     pub engine_sequences: u32,
-    /// Online requests that an endpoint may hold, waiting ones included.
+    /// Maximum number of online requests at an endpoint, including those that wait.
     pub engine_online: u32,
-    /// Items that wait per service before another chunk is claimed.
+    /// Number of waiting items per service below which another chunk is claimed.
     pub low_water_items: usize,
-    /// Chunks held at once.
+    /// Maximum number of chunks that are claimed at once.
     pub max_chunks: usize,
-    /// Least milliseconds between two starts of batch streams at an engine.
+    /// Minimum interval between the starts of two batch streams at an engine, in milliseconds.
     pub start_spacing_ms: u64,
-    /// Milliseconds that an endpoint may be silent within a batch stream.
+    /// Maximum time without data from an endpoint in a batch stream, in milliseconds.
     pub stream_silence_ms: u64,
-    /// Milliseconds after which finished items of a chunk are committed early.
+    /// Time after which finished items of an incomplete chunk are committed, in milliseconds.
     pub commit_after_ms: u64,
 }
 
@@ -58,12 +58,12 @@
 }
 
 impl super::CheckedSettings for DispatcherSettings {
-    fn out_of_range(&self) -> Option<(String, String)> {
+    fn first_invalid(&self) -> Option<(String, String)> {
         let sequences = u64::from(self.batch.engine_sequences);
         let chunks = self.batch.max_chunks as u64;
-        common::store_fault(&self.store)
-            .or_else(|| self.pace.out_of_range())
-            .or_else(|| super::range_fault("batch.engine_sequences", sequences, 1, 100_000))
-            .or_else(|| super::range_fault("batch.max_chunks", chunks, 1, 256))
+        common::check_store(&self.store)
+            .or_else(|| self.pace.first_invalid())
+            .or_else(|| super::check_range("batch.engine_sequences", sequences, 1, 100_000))
+            .or_else(|| super::check_range("batch.max_chunks", chunks, 1, 256))
     }
 }
--- a/src/settings/gateway.rs
+++ b/src/settings/gateway.rs
@@ -9,41 +9,41 @@
 #[derive(Debug, Clone, serde::Serialize, serde::Deserialize, schemars::JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct GatewaySettings {
-    /// Who this process is.
+    /// Identity of this process.
     pub instance: common::InstanceSettings,
-    /// The platform's object service.
+    /// Connection to the platform's object service.
     pub store: common::StoreSettings,
-    /// Links to the other processes.
+    /// Connections to the other processes.
     pub link: common::LinkSettings,
-    /// The side towards callers.
+    /// HTTP server for callers.
     pub callers: CallerSettings,
-    /// How often the process looks and shows itself.
+    /// Intervals of heartbeats, watches and polls.
     #[serde(default)]
     pub pace: common::PaceSettings,
-    /// How online requests find their endpoint.
+    /// Routing and attempts of online requests.
     #[serde(default)]
     pub online: OnlineSettings,
-    /// SHA-256 of each operator's key, in hexadecimal.
+    /// SHA-256 hash of each operator's key, in hexadecimal.
     #[serde(default)]
     pub operator_key_hashes: Vec<String>,
 }
 
-/// The side towards callers.
+/// HTTP server for callers.
 #[derive(Debug, Clone, serde::Serialize, serde::Deserialize, schemars::JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct CallerSettings {
-    /// IP number and port that callers reach.
+    /// IP address and port on which the gateway accepts callers.
     pub listen: net::SocketAddr,
-    /// Threads that answer callers.
+    /// Number of threads that serve callers.
     #[serde(default = "default_workers")]
     pub workers: usize,
-    /// TLS towards callers; without it HTTP is spoken.
+    /// TLS for connections from callers; if unset, plain HTTP is used.
     #[serde(default)]
     pub tls: Option<TlsSettings>,
-    /// Limits on what callers send.
+    /// Limits on requests from callers.
     #[serde(default)]
     pub limits: InputLimits,
-    /// Longest wait for requests in flight at a planned stop, in milliseconds.
+    /// Maximum wait for requests in flight at a planned stop, in milliseconds.
     #[serde(default = "default_stop_timeout")]
     pub stop_timeout_ms: u64,
 }
@@ -56,37 +56,37 @@
     120_000
 }
 
-/// Certificate and key of the gateway.
+/// TLS certificate and private key of the gateway.
 #[derive(Debug, Clone, serde::Serialize, serde::Deserialize, schemars::JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct TlsSettings {
     /// PEM file with the certificate chain.
     pub certificate_file: path::PathBuf,
-    /// PEM file with the private key; read again when it changes.
+    /// PEM file with the private key; reloaded when it changes.
     pub key_file: path::PathBuf,
 }
 
-/// Limits on what callers send.
+/// Limits on requests from callers.
 #[derive(Debug, Clone, serde::Serialize, serde::Deserialize, schemars::JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct InputLimits {
-    /// Bytes of an online request's body.
+    /// Maximum size of an online request's body, in bytes.
     pub body_bytes: usize,
-    /// Bytes of an uploaded file.
+    /// Maximum size of an uploaded file, in bytes.
     pub file_bytes: usize,
-    /// Bytes of one line of an uploaded file.
+    /// Maximum size of one line of an uploaded file, in bytes.
     pub line_bytes: usize,
-    /// Items in an uploaded file.
+    /// Maximum number of items in an uploaded file.
     pub file_items: usize,
-    /// Milliseconds to send a request's head.
+    /// Maximum time to receive a request's head, in milliseconds.
     pub head_timeout_ms: u64,
-    /// Milliseconds to send an online request's body.
+    /// Maximum time to receive an online request's body, in milliseconds.
     pub body_timeout_ms: u64,
-    /// Bytes of a request's head.
+    /// Maximum size of a request's head, in bytes.
     pub head_bytes: usize,
-    /// Connections at once; requests of further ones are refused.
+    /// Maximum number of concurrent connections; requests on further connections are refused.
     pub connections: usize,
-    /// Requests at once in all; further ones are refused.
+    /// Maximum number of concurrent requests in total; further requests are refused.
     pub requests: usize,
 }
 
@@ -106,19 +106,19 @@
     }
 }
 
-/// How online requests find their endpoint.
+/// Routing and attempts of online requests.
 #[derive(Debug, Clone, serde::Serialize, serde::Deserialize, schemars::JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct OnlineSettings {
-    /// How endpoints are ranked.
+    /// Policy by which endpoints are ranked.
     pub routing: routing::RoutePolicy,
-    /// Whether the endpoint's owner is asked before a request is sent.
+    /// Whether a request needs a permit from the endpoint's owner before it is sent.
     pub permits: bool,
-    /// Attempts of one request at most.
+    /// Maximum number of attempts per request.
     pub max_attempts: u32,
-    /// Milliseconds a request may take if its caller names no deadline.
+    /// Deadline of a request whose caller sets none, in milliseconds.
     pub default_deadline_ms: u64,
-    /// Longest silence of an endpoint within a stream, in milliseconds.
+    /// Maximum time without data from an endpoint in a stream, in milliseconds.
     pub stream_silence_ms: u64,
 }
 
@@ -135,19 +135,19 @@
 }
 
 impl super::CheckedSettings for GatewaySettings {
-    fn out_of_range(&self) -> Option<(String, String)> {
+    fn first_invalid(&self) -> Option<(String, String)> {
         let workers = self.callers.workers as u64;
         let attempts = u64::from(self.online.max_attempts);
         let line = self.callers.limits.line_bytes as u64;
-        common::store_fault(&self.store)
-            .or_else(|| self.pace.out_of_range())
-            .or_else(|| super::range_fault("callers.workers", workers, 1, 64))
-            .or_else(|| super::range_fault("online.max_attempts", attempts, 1, 16))
+        common::check_store(&self.store)
+            .or_else(|| self.pace.first_invalid())
+            .or_else(|| super::check_range("callers.workers", workers, 1, 64))
+            .or_else(|| super::check_range("online.max_attempts", attempts, 1, 16))
             .or_else(|| {
-                super::range_fault("callers.limits.line_bytes", line, 1, MAX_LINE_BYTES as u64)
+                super::check_range("callers.limits.line_bytes", line, 1, MAX_LINE_BYTES as u64)
             })
     }
 }
 
-/// Largest line that fits a chunk of the object service.
+/// Upper limit of `line_bytes`: the largest line that fits a chunk in the object service.
 const MAX_LINE_BYTES: usize = 768 << 10;
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,4 +1,6 @@
-//! Settings files: reading, checking, and errors that name file, key and what is allowed.
+//! Reading and validation of settings files.
+//!
+//! Each error names the file, the key and the allowed values.
 
 pub mod client;
 pub mod common;
@@ -9,44 +11,44 @@
 
 use std::{fs, path};
 
-/// Why settings were refused.
+/// Error in a settings file.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub enum SettingsError {
     /// The file cannot be read.
     #[error("the settings file {file} cannot be read: {reason}")]
     #[diagnostic(code(jayhollow::settings::unreadable))]
     Unreadable {
-        /// The file.
+        /// Name of the file.
         file: String,
-        /// What the system says.
+        /// Error of the operating system.
         reason: String,
     },
-    /// A key or a value is wrong.
+    /// A key is unknown or a value is invalid.
     #[error("in the settings file {file}, at '{key}': {found}")]
     #[diagnostic(
         code(jayhollow::settings::invalid),
         help("docs/settings.md lists every key with its type, default and meaning")
     )]
     Invalid {
-        /// The file.
+        /// Name of the file.
         file: String,
-        /// The key, with the keys above it.
+        /// Path of the key, with its parent keys.
         key: String,
-        /// What was found and what is allowed.
+        /// Value found and values allowed.
         found: String,
     },
 }
 
-/// Settings that can be checked beyond their types.
+/// Settings with checks that their types cannot express.
 pub trait CheckedSettings: serde::de::DeserializeOwned + serde::Serialize {
-    /// The first value that is out of its range: its key, and what is allowed.
-    fn out_of_range(&self) -> Option<(String, String)>;
+    /// Returns the key of the first value that is out of range, and what is allowed.
+    fn first_invalid(&self) -> Option<(String, String)>;
 }
 
-/// Reads and checks a settings file.
+/// Reads and validates a settings file.
 ///
 /// # Errors
-/// The file cannot be read, or holds an unknown key or a wrong value.
+/// The file cannot be read, or contains an unknown key or an invalid value.
 pub fn load<T: CheckedSettings>(file: &path::Path) -> Result<T, SettingsError> {
     let name = file.display().to_string();
     let text = fs::read_to_string(file).map_err(|e| SettingsError::Unreadable {
@@ -56,10 +58,10 @@
     parse(&name, &text)
 }
 
-/// Parses and checks the text of a settings file.
+/// Parses and validates the text of a settings file; `file` is its name for errors.
 ///
 /// # Errors
-/// The text holds an unknown key or a wrong value.
+/// The text contains an unknown key or an invalid value.
 pub fn parse<T: CheckedSettings>(file: &str, text: &str) -> Result<T, SettingsError> {
     let mut deserializer = serde_json::Deserializer::from_str(text);
     let settings: T = serde_path_to_error::deserialize(&mut deserializer).map_err(|e| {
@@ -70,7 +72,7 @@
             found: e.into_inner().to_string(),
         }
     })?;
-    match settings.out_of_range() {
+    match settings.first_invalid() {
         None => Ok(settings),
         Some((key, found)) => Err(SettingsError::Invalid {
             file: file.to_owned(),
@@ -80,11 +82,11 @@
     }
 }
 
-/// Checks that `value` lies in `least..=most`; says what is wrong otherwise.
-fn range_fault(key: &str, value: u64, least: u64, most: u64) -> Option<(String, String)> {
-    if (least..=most).contains(&value) {
+/// Returns `key` and a message if `value` is not in `min..=max`.
+fn check_range(key: &str, value: u64, min: u64, max: u64) -> Option<(String, String)> {
+    if (min..=max).contains(&value) {
         return None;
     }
-    let found = format!("found {value}, allowed are {least} to {most}");
+    let found = format!("found {value}, allowed are {min} to {max}");
     Some((key.to_owned(), found))
 }
--- a/src/settings/standin.rs
+++ b/src/settings/standin.rs
@@ -4,35 +4,35 @@
 
 use crate::{platform, standin::engine_terms};
 
-/// What a stand-in process plays.
+/// Settings of a stand-in process, by the system that it simulates.
 #[derive(Debug, Clone, serde::Serialize, serde::Deserialize, schemars::JsonSchema)]
 #[serde(tag = "role", rename_all = "snake_case", deny_unknown_fields)]
 pub enum StandinSettings {
-    /// The platform's object service and its list of endpoints.
+    /// Platform's object service and its list of endpoints.
     Objects {
-        /// IP number and port.
+        /// IP address and port on which the process listens.
         listen: net::SocketAddr,
-        /// The list of endpoints at the start.
+        /// List of endpoints at startup.
         #[serde(default)]
         endpoints: Vec<platform::EndpointRecord>,
     },
-    /// A model engine.
+    /// Model engine.
     Engine {
-        /// IP number and port.
+        /// IP address and port on which the process listens.
         listen: net::SocketAddr,
-        /// Speed, size and kind.
+        /// Speed, capacity and kind of the engine.
         #[serde(default)]
         options: engine_terms::EngineOptions,
     },
-    /// A plain service.
+    /// Plain service.
     Plain {
-        /// IP number and port.
+        /// IP address and port on which the process listens.
         listen: net::SocketAddr,
     },
 }
 
 impl super::CheckedSettings for StandinSettings {
-    fn out_of_range(&self) -> Option<(String, String)> {
+    fn first_invalid(&self) -> Option<(String, String)> {
         None
     }
 }
--- a/src/settings/table.rs
+++ b/src/settings/table.rs
@@ -1,26 +1,26 @@
-//! The table of settings in the docs, made from their JSON schema.
+//! Table of settings for `docs/settings.md`, generated from their JSON schema.
 
-/// One key of the settings.
+/// Table row that describes one key of the settings.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SettingRow {
-    /// The key with the keys above it.
+    /// Path of the key, with its parent keys, separated by dots.
     pub key: String,
-    /// Type of its value.
+    /// Type of the value, or its allowed values.
     pub kind: String,
-    /// Default, or `required`.
+    /// Default value, `required` or `none`.
     pub default: String,
-    /// Meaning.
+    /// First line of the key's description.
     pub meaning: String,
 }
 
-/// All keys of a schema, in its order.
+/// Lists all keys of a schema, in the order of the schema.
 pub fn rows(schema: &serde_json::Value) -> Vec<SettingRow> {
     let mut rows = Vec::new();
     walk(schema, schema, "", None, &mut rows);
     rows
 }
 
-/// The keys of a schema as a table in Markdown.
+/// Formats the keys of a schema as a Markdown table.
 pub fn markdown(schema: &serde_json::Value) -> String {
     let mut text = String::from("| key | type | default | meaning |\n| --- | --- | --- | --- |\n");
     for row in rows(schema) {
@@ -34,16 +34,16 @@
 }
 
 fn resolve<'a>(root: &'a serde_json::Value, node: &'a serde_json::Value) -> &'a serde_json::Value {
-    let named = node["$ref"]
+    let reference = node["$ref"]
         .as_str()
         .and_then(|r| r.strip_prefix("#/$defs/"));
-    if let Some(name) = named {
+    if let Some(name) = reference {
         return &root["$defs"][name];
     }
-    // An optional value is a choice of itself and null.
+    // An optional value has a schema of two choices: the value's own and null.
     let choices = node["anyOf"].as_array().into_iter().flatten();
-    let mut named = choices.filter(|c| c["type"] != "null");
-    match named.next() {
+    let mut values = choices.filter(|c| c["type"] != "null");
+    match values.next() {
         Some(choice) => resolve(root, choice),
         None => node,
     }
@@ -66,21 +66,21 @@
             "" => name.clone(),
             _ => format!("{prefix}.{name}"),
         };
-        let above = defaults.and_then(|d| d.get(name));
-        let default = property.get("default").or(above);
+        let inherited = defaults.and_then(|d| d.get(name));
+        let default = property.get("default").or(inherited);
         let target = resolve(root, property);
         if target["properties"].is_object() {
             walk(root, target, &key, default, rows);
             continue;
         }
-        let needed = required.is_some_and(|r| r.iter().any(|n| n == name));
+        let is_required = required.is_some_and(|r| r.iter().any(|n| n == name));
         let text = |value: &serde_json::Value| value["description"].as_str().map(first_line);
         rows.push(SettingRow {
             key,
             kind: kind_of(target),
             default: match default {
                 Some(default) => format!("`{default}`"),
-                None if needed => "required".into(),
+                None if is_required => "required".into(),
                 None => "none".into(),
             },
             meaning: text(property).or_else(|| text(target)).unwrap_or_default(),
--- a/tests/command_line.rs
+++ b/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! The command line as a person uses it: dev, smoke, exit codes.
+//! Tests of the command line from outside: `dev`, `dev --smoke` and exit codes.
 
 mod support;
 
@@ -14,7 +14,7 @@
 }
 
 fn run(arguments: &[&str]) -> (Option<i32>, String) {
-    let output = jayhollow(arguments).output().expect("it runs");
+    let output = jayhollow(arguments).output().expect("the command runs");
     let text = [output.stdout, output.stderr].concat();
     (
         output.status.code(),
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn the_smoke_run_does_one_call_of_each_kind() {
+fn the_smoke_run_makes_one_call_of_each_kind() {
     let (code, text) = run(&["dev", "--smoke"]);
     assert_eq!(code, Some(0), "{text}");
     for kind in ["online", "stream", "plain service", "batch job"] {
@@ -33,23 +33,28 @@
 }
 
 #[test]
-fn dev_prints_where_it_is_and_ends_cleanly() {
+fn dev_reports_readiness_and_stops_on_sigterm() {
     let mut child = jayhollow(&["dev", "--listen", "127.0.0.1:0"])
         .stdout(process::Stdio::piped())
         .spawn()
-        .expect("it starts");
-    let output = child.stdout.take().expect("its output is piped");
+        .expect("the command starts");
+    let output = child.stdout.take().expect("standard output is piped");
     let mut lines = io::BufReader::new(output).lines();
-    let first = lines.next().expect("it prints").expect("it is text");
+    let first = lines
+        .next()
+        .expect("it prints a line")
+        .expect("the line is UTF-8");
     assert_eq!(first, "jayhollow is ready");
-    // SAFETY: the process is a child of ours and was not waited for yet.
+    // SAFETY: the child has not been waited for, so its process ID is still valid.
     unsafe { libc::kill(child.id() as libc::pid_t, libc::SIGTERM) };
-    let status = support::wait_for("it ends", || child.try_wait().expect("it can be looked at"));
+    let status = support::wait_for("the command ends", || {
+        child.try_wait().expect("the exit status can be read")
+    });
     assert!(status.success());
 }
 
 #[test]
-fn exit_codes_tell_what_went_wrong() {
+fn exit_codes_distinguish_errors() {
     assert_eq!(run(&["--no-such-flag"]).0, Some(2));
     let (code, text) = run(&["--url", "http://127.0.0.1:1", "job", "list"]);
     assert_eq!(code, Some(4), "{text}");
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings: refused with file, key and what is allowed; schemas and table as committed.
+//! Tests of settings files: error messages, and the committed schemas and tables.
 
 use std::{fs, path};
 
@@ -8,7 +8,7 @@
 };
 use rstest::rstest;
 
-fn gateway_text(change: impl Fn(&mut serde_json::Value)) -> String {
+fn gateway_settings(change: impl Fn(&mut serde_json::Value)) -> String {
     let mut value = serde_json::json!({
         "instance": {"id": "gateway-1", "domain": "hall-lozenets"},
         "store": {"url": "http://127.0.0.1:7070"},
@@ -19,16 +19,22 @@
     value.to_string()
 }
 
-fn fault(text: &str) -> String {
+fn parse_error(text: &str) -> String {
     let parsed = settings::parse::<settings::gateway::GatewaySettings>("g.json", text);
-    parsed.expect_err("it is refused").to_string()
+    parsed.expect_err("the settings are refused").to_string()
 }
 
 #[test]
 fn a_minimal_file_is_accepted() {
-    let text = gateway_text(|_| {});
+    let text = gateway_settings(|_| {});
     let parsed = settings::parse::<settings::gateway::GatewaySettings>("g.json", &text);
-    assert_eq!(parsed.expect("it is accepted").online.max_attempts, 4);
+    assert_eq!(
+        parsed
+            .expect("the settings are accepted")
+            .online
+            .max_attempts,
+        4
+    );
 }
 
 #[rstest]
@@ -37,13 +43,13 @@
 #[case::out_of_range("callers", "workers", serde_json::json!(0), "allowed are 1 to 64")]
 #[case::bad_name("instance", "id", serde_json::json!("a b"), "letters, digits")]
 #[case::bad_address("store", "url", serde_json::json!("ftp://x"), "http://")]
-fn faults_name_file_key_and_what_is_allowed(
+fn errors_name_file_key_and_allowed_values(
     #[case] group: &str,
     #[case] key: &str,
     #[case] value: serde_json::Value,
     #[case] allowed: &str,
 ) {
-    let message = fault(&gateway_text(|settings| {
+    let message = parse_error(&gateway_settings(|settings| {
         settings[group][key] = value.clone()
     }));
     for part in ["g.json", group, key, allowed] {
@@ -57,7 +63,7 @@
 #[case(SettingsRole::Standin, "standin")]
 #[case(SettingsRole::Client, "client")]
 #[case(SettingsRole::Bundle, "bundle")]
-fn schema_and_table_are_as_committed(#[case] role: SettingsRole, #[case] name: &str) {
+fn committed_schema_and_table_are_up_to_date(#[case] role: SettingsRole, #[case] name: &str) {
     let docs = path::Path::new(env!("CARGO_MANIFEST_DIR")).join("docs");
     let schema = fs::read_to_string(docs.join(format!("schema/{name}.json")));
     let schema = schema.expect("the schema is committed");
