--- a/src/cli/explain_command.rs
+++ b/src/cli/explain_command.rs
@@ -17,7 +17,7 @@
     /// ID of the request, job, item or endpoint to trace.
     #[arg(long)]
     pub id: Option<String>,
-    /// Start of the period to report on: a time, or seconds after the first log line.
+    /// Start of the period to report on: an RFC 3339 time, or seconds after the first log line.
     #[arg(long, conflicts_with = "id")]
     pub from: Option<PeriodBound>,
     /// End of the period to report on, in the same forms.
@@ -45,13 +45,13 @@
     }
 }
 
-/// Minimum step length, in seconds; an hour of logs then has 36,000 steps.
+/// Minimum step length, in seconds; limits an hour of logs to 36,000 steps.
 const MIN_STEP_S: f64 = 0.1;
 
 /// Start or end of a period of time.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum PeriodBound {
-    /// A time of day.
+    /// Point in time, in RFC 3339 format.
     Time(LogTime),
     /// Seconds after the first log line.
     Seconds(f64),
