--- a/src/link/mod.rs
+++ b/src/link/mod.rs
@@ -1,6 +1,6 @@
-//! Links between the system's own processes: permits, releases, bundles.
+//! RPC links between gateways and dispatchers: permits, their releases, and bundles.
 //!
-//! A peer proves that it knows the shared secret before its first message.
+//! A client proves that it knows the shared secret before its first message.
 
 mod client;
 mod secret;
@@ -14,77 +14,77 @@
 
 use crate::{bundle, decisions::admission, ids};
 
-/// Longest wait for a connection or a proof.
+/// Timeout for a connection with its authentication; on the server, for the authentication.
 const CONNECT_TIMEOUT: time::Duration = time::Duration::from_millis(500);
 
-/// A gateway's request to send an online request.
+/// Request of a gateway for a permit to send one online request to an endpoint.
 #[derive(Debug, Clone, serde::Serialize, serde::Deserialize)]
 pub struct PermitRequest {
-    /// The endpoint.
+    /// Endpoint that would take the online request.
     pub endpoint: ids::EndpointId,
-    /// Number of the permit, made by the gateway at random.
+    /// Random number of the permit, chosen by the gateway.
     pub number: admission::PermitNumber,
 }
 
-/// The owner's word.
+/// Response of an endpoint's owner to a permit request.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum PermitResponse {
-    /// Go ahead; so many online requests and batch streams are there.
+    /// The permit is given; the counts describe the load of the endpoint.
     Granted {
-        /// Online requests at the endpoint.
+        /// Number of online requests at the endpoint.
         online: u32,
-        /// Batch streams at the endpoint.
+        /// Number of batch streams at the endpoint.
         batch: u32,
-        /// Online requests that wait there for a place, this one included.
+        /// Number of online requests that wait for a slot at the endpoint, including this one.
         waiting: u32,
     },
-    /// The endpoint holds as many online requests as it may.
+    /// The endpoint holds its maximum number of online requests.
     Full,
-    /// The endpoint is leaving.
+    /// The endpoint is draining.
     Leaving,
     /// This instance does not own the endpoint.
     NotOwner,
 }
 
-/// Permits that ended.
+/// Release of a permit that its holder no longer needs.
 #[derive(Debug, Clone, serde::Serialize, serde::Deserialize)]
 pub struct PermitRelease {
-    /// The endpoint.
+    /// Endpoint of the permit.
     pub endpoint: ids::EndpointId,
     /// Number of the permit.
     pub number: admission::PermitNumber,
 }
 
-/// An accepted bundle, told by a peer.
+/// An accepted bundle, as sent between peers.
 #[derive(Debug, Clone, serde::Serialize, serde::Deserialize)]
 pub struct BundleOffer {
-    /// Its generation.
+    /// Generation of the bundle.
     pub generation: bundle::BundleGeneration,
-    /// The document as JSON.
+    /// Document of the bundle, as JSON.
     pub document: String,
 }
 
-/// What one process asks of another.
+/// RPC interface between processes.
 #[tarpc::service]
 pub trait PeerLink {
-    /// Asks the owner of an endpoint for a permit.
+    /// Requests a permit from the owner of an endpoint.
     async fn permit(request: PermitRequest) -> PermitResponse;
-    /// Ends a permit.
+    /// Releases a permit.
     async fn release(release: PermitRelease);
-    /// Tells an accepted bundle.
+    /// Offers an accepted bundle; the receiver ignores it unless it is newer than its own.
     async fn offer_bundle(offer: BundleOffer);
-    /// Asks for the accepted bundle, if its generation is above `known`.
+    /// Returns the active bundle of the receiver, if its generation is above `known`.
     async fn newer_bundle(known: bundle::BundleGeneration) -> Option<BundleOffer>;
 }
 
-/// What answers the peers of a process.
+/// Handler of the requests that a process receives from its peers.
 pub trait LinkHandler: Send + Sync {
-    /// See [`PeerLink::permit`].
+    /// Handles [`PeerLink::permit`].
     fn permit(&self, request: PermitRequest) -> PermitResponse;
-    /// See [`PeerLink::release`].
+    /// Handles [`PeerLink::release`].
     fn release(&self, release: PermitRelease);
-    /// See [`PeerLink::offer_bundle`].
+    /// Handles [`PeerLink::offer_bundle`].
     fn offer_bundle(&self, offer: BundleOffer);
-    /// See [`PeerLink::newer_bundle`].
+    /// Handles [`PeerLink::newer_bundle`].
     fn newer_bundle(&self, known: bundle::BundleGeneration) -> Option<BundleOffer>;
 }
--- a/src/link/secret.rs
+++ b/src/link/secret.rs
@@ -1,4 +1,4 @@
-//! The secret that all processes share, and the proof that a peer knows it.
+//! Authentication of links: an HMAC over a random nonce proves that a peer knows the shared secret.
 
 use std::{io, sync};
 
@@ -7,25 +7,25 @@
 
 use crate::protection;
 
-/// Bytes of a nonce.
+/// Length of a nonce in bytes.
 const NONCE_BYTES: usize = 16;
-/// Bytes of a proof.
+/// Length of a proof in bytes, which is an HMAC-SHA-256 tag.
 const PROOF_BYTES: usize = 32;
 
-/// The secret that all processes share; never logged.
+/// Secret that all processes share. It has no `Debug`, so that it cannot be logged.
 #[derive(Clone)]
 pub struct LinkSecret(sync::Arc<Vec<u8>>);
 
 impl LinkSecret {
-    /// A secret of these bytes.
+    /// Creates a secret from its bytes.
     pub fn new(bytes: Vec<u8>) -> Self {
         Self(sync::Arc::new(bytes))
     }
 
-    /// Reads the secret from a file; white space around it does not count.
+    /// Reads the secret from a file, without leading and trailing whitespace.
     ///
     /// # Errors
-    /// The file cannot be read or is empty.
+    /// The file cannot be read, or holds nothing but whitespace.
     pub fn read(file: &std::path::Path) -> io::Result<Self> {
         let text = std::fs::read(file)?;
         let text = text.trim_ascii();
@@ -37,15 +37,18 @@
 
     fn mac(&self, nonce: &[u8]) -> hmac::Hmac<sha2::Sha256> {
         let mac = hmac::Hmac::<sha2::Sha256>::new_from_slice(&self.0);
-        // HMAC takes keys of any length.
+        // HMAC accepts keys of any length, so this cannot fail.
         let mut mac = mac.expect("any length is valid");
         mac.update(nonce);
         mac
     }
 }
 
-/// Sends a nonce and checks the proof that comes back.
-pub(super) async fn check_peer(
+/// Sends a nonce to a client and verifies the proof that it returns.
+///
+/// # Errors
+/// The socket cannot be read or written.
+pub(super) async fn verify_peer(
     socket: &mut tokio::net::TcpStream,
     secret: &LinkSecret,
 ) -> io::Result<bool> {
@@ -53,11 +56,14 @@
     socket.write_all(&nonce).await?;
     let mut proof = [0; PROOF_BYTES];
     socket.read_exact(&mut proof).await?;
-    let right = secret.mac(&nonce).verify_slice(&proof).is_ok();
-    Ok(right || protection::is_disabled("link_secret"))
+    let is_valid = secret.mac(&nonce).verify_slice(&proof).is_ok();
+    Ok(is_valid || protection::is_disabled("link_secret"))
 }
 
-/// Answers a nonce with the proof.
+/// Reads the server's nonce and sends the proof for it.
+///
+/// # Errors
+/// The socket cannot be read or written.
 pub(super) async fn prove(
     socket: &mut tokio::net::TcpStream,
     secret: &LinkSecret,
--- a/src/link/server.rs
+++ b/src/link/server.rs
@@ -1,4 +1,4 @@
-//! The side of a link that answers.
+//! Server side of the links: authenticates peers and handles their requests.
 
 use std::{io, net, sync, thread};
 
@@ -13,6 +13,7 @@
 };
 use crate::{bundle, log_error::LogError as _, metrics};
 
+/// Adapter from the RPC service to a [`LinkHandler`].
 #[derive(Clone)]
 struct LinkServer(sync::Arc<dyn LinkHandler>);
 
@@ -38,27 +39,27 @@
     }
 }
 
-/// A running link server; dropping it ends its thread.
+/// Guard of a running link server: dropping it stops the server's thread.
 pub struct LinkGuard {
-    /// The address that it listens on.
+    /// Address on which the server listens.
     pub address: net::SocketAddr,
     _stop: mpsc::Sender<()>,
 }
 
-/// Serves peers on a thread of its own.
+/// Starts a server for peers on its own thread.
 ///
 /// # Errors
 /// The address cannot be bound, or the thread cannot be started.
 pub fn serve(
     listen: net::SocketAddr,
-    shared: LinkSecret,
+    shared_secret: LinkSecret,
     handler: sync::Arc<dyn LinkHandler>,
     metrics: sync::Arc<metrics::MetricSet>,
 ) -> io::Result<LinkGuard> {
     let listener = net::TcpListener::bind(listen)?;
     listener.set_nonblocking(true)?;
     let address = listener.local_addr()?;
-    let (stop, mut stopped) = mpsc::channel::<()>(1);
+    let (stop, mut stop_signal) = mpsc::channel::<()>(1);
     thread::Builder::new().name("link-server".into()).spawn(move || {
         actix_rt::System::new().block_on(async move {
             let Ok(listener) = tokio::net::TcpListener::from_std(listener) else {
@@ -66,11 +67,11 @@
             };
             loop {
                 tokio::select! {
-                    _ = stopped.recv() => return,
+                    _ = stop_signal.recv() => return,
                     accepted = listener.accept() => {
                         let Ok((socket, _)) = accepted else { continue };
                         let server = LinkServer(handler.clone());
-                        actix_rt::spawn(serve_peer(socket, shared.clone(), server, metrics.clone()));
+                        actix_rt::spawn(serve_peer(socket, shared_secret.clone(), server, metrics.clone()));
                     }
                 }
             }
@@ -82,16 +83,20 @@
     })
 }
 
+/// Authenticates one peer, then handles its requests until the connection ends.
 async fn serve_peer(
     mut socket: tokio::net::TcpStream,
-    shared: LinkSecret,
+    shared_secret: LinkSecret,
     server: LinkServer,
     metrics: sync::Arc<metrics::MetricSet>,
 ) {
     socket.set_nodelay(true).ok_or_log("nodelay_unset");
-    let proof =
-        tokio::time::timeout(CONNECT_TIMEOUT, secret::check_peer(&mut socket, &shared)).await;
-    if !matches!(proof, Ok(Ok(true))) {
+    let verified = tokio::time::timeout(
+        CONNECT_TIMEOUT,
+        secret::verify_peer(&mut socket, &shared_secret),
+    )
+    .await;
+    if !matches!(verified, Ok(Ok(true))) {
         metrics.strangers.inc();
         log::warn!("event=stranger_dropped");
         return;
