--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -69,7 +69,7 @@
             if self.received.recv_timeout(STOP_POLL).is_ok() {
                 return;
             }
-            if fleet.is_some_and(|f| f.snapshot().stop_asked) {
+            if fleet.is_some_and(|f| f.snapshot().stop_requested) {
                 return;
             }
         }
--- a/src/dispatcher/mod.rs
+++ b/src/dispatcher/mod.rs
@@ -97,7 +97,7 @@
     /// The status page's thread ended with an error.
     pub fn stop(self) -> io::Result<()> {
         log::info!("event=dispatcher_stopping");
-        self.context.fleet.leave();
+        self.context.fleet.announce_draining();
         let (done, handed_back) = oneshot::channel();
         let waiting = async {
             if self.stops.send(done).await.is_ok() {
--- a/src/fleet/documents.rs
+++ b/src/fleet/documents.rs
@@ -1,4 +1,4 @@
-//! Where bundles stand in the object service.
+//! Layout of bundles in the object service: the keys of the head and of the document's parts.
 
 use crate::{
     bundle,
@@ -6,18 +6,18 @@
     store,
 };
 
-/// Key of the bundle's head.
+/// Key of the object that holds the bundle head: the accepted bundle and the submitted draft.
 pub const BUNDLE_HEAD_KEY: &str = "bundle/head";
 
-/// Key of a part of a bundle's document.
+/// Returns the key of a part of a bundle's document.
 pub fn document_key(document: &str, part: u32) -> String {
     format!("bundle/doc/{document}/{part}")
 }
 
-/// Reads a bundle's document from its parts.
+/// Reads the parts of a bundle's document and decodes it.
 ///
 /// # Errors
-/// A part cannot be read, or the document is not valid.
+/// A part is missing or cannot be read, or the document is not valid.
 pub async fn read_document(
     store: &dyn store::ObjectStore,
     entry: &bundle_steps::BundleEntry,
@@ -26,7 +26,8 @@
     for part in 0..entry.parts {
         let key = document_key(&entry.document, part);
         let object = store.get(call_budget::CallClass::Control, &key).await?;
-        let object = object.ok_or_else(|| store::StoreError::Corrupt(format!("no {key}")))?;
+        let object =
+            object.ok_or_else(|| store::StoreError::Corrupt(format!("{key} is missing")))?;
         text.extend_from_slice(&object.value);
     }
     serde_json::from_slice(&text).map_err(|e| store::StoreError::Corrupt(e.to_string()))
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -1,7 +1,7 @@
-//! What a process knows of the fleet: bundle, endpoints, instances, jobs, stops.
+//! State of the fleet as one process sees it: bundle, endpoints, instances, jobs, stop requests.
 //!
-//! One thread watches the object service, reads the platform's list, renews
-//! the process's own lease, and publishes a snapshot after each change.
+//! One thread watches the object service, polls the platform's list of endpoints, renews the
+//! process's own lease, and publishes a snapshot after each change.
 
 mod documents;
 mod model;
@@ -17,7 +17,7 @@
 
 use crate::{bundle, clock, ids, link, log_error::LogError as _, metrics, settings, store};
 
-/// A handle to what the process knows; cheap to copy and to read.
+/// Handle to the fleet thread and its latest snapshot; cheap to clone and to read.
 #[derive(Clone)]
 pub struct FleetHandle {
     current: sync::Arc<arc_swap::ArcSwap<FleetSnapshot>>,
@@ -25,35 +25,37 @@
     commands: mpsc::Sender<FleetCommand>,
 }
 
+/// Command to the fleet thread.
 enum FleetCommand {
     OfferBundle(link::BundleOffer),
-    Leave,
+    Drain,
 }
 
 impl FleetHandle {
-    /// The newest snapshot.
+    /// Returns the latest snapshot.
     pub fn snapshot(&self) -> sync::Arc<FleetSnapshot> {
         self.current.load_full()
     }
 
-    /// Changes whenever a snapshot is published.
+    /// Returns a receiver that is notified of each published snapshot.
     pub fn changes(&self) -> watch::Receiver<u64> {
         self.changed.clone()
     }
 
-    /// Takes a bundle that a peer told; an older one is left alone.
+    /// Sends a bundle from a peer to the fleet thread, which activates it if it is newer than the
+    /// active one.
     pub fn offer_bundle(&self, offer: link::BundleOffer) {
         let sent = self.commands.try_send(FleetCommand::OfferBundle(offer));
         sent.ok_or_log("bundle_offer_dropped");
     }
 
-    /// Shows everyone that this instance takes no new work.
-    pub fn leave(&self) {
-        let sent = self.commands.try_send(FleetCommand::Leave);
+    /// Announces in the instance's record that it is draining: it takes no new work.
+    pub fn announce_draining(&self) {
+        let sent = self.commands.try_send(FleetCommand::Drain);
         sent.ok_or_log("leave_unheard");
     }
 
-    /// The bundle in force here, if its generation is above `known`.
+    /// Returns the active bundle if its generation is above `known`.
     pub fn newer_bundle(&self, known: bundle::BundleGeneration) -> Option<link::BundleOffer> {
         let bundle = self.snapshot().bundle.clone();
         if bundle.generation <= known {
@@ -67,38 +69,38 @@
         })
     }
 
-    /// Waits until the first snapshot is there, or until `timeout` ends.
+    /// Waits until the process is synced or `timeout` has passed; returns whether it is synced.
     pub async fn wait_synced(&self, timeout: time::Duration) -> bool {
         let mut changed = self.changed.clone();
-        let waiting = async {
+        let synced = async {
             while !self.snapshot().synced {
                 if changed.changed().await.is_err() {
                     return;
                 }
             }
         };
-        let waited = actix_rt::time::timeout(timeout, waiting).await;
+        let waited = actix_rt::time::timeout(timeout, synced).await;
         waited.ok_or_log("fleet_not_synced");
         self.snapshot().synced
     }
 }
 
-/// What the fleet's thread needs to know of its process.
+/// Properties of the process that the fleet thread publishes, and its intervals.
 #[derive(Clone)]
 pub struct FleetOptions {
-    /// The instance.
+    /// Identifier of the instance.
     pub id: ids::InstanceId,
-    /// Its failure domain.
+    /// Failure domain of the instance.
     pub domain: ids::DomainName,
-    /// What it does.
+    /// Role of the instance.
     pub role: InstanceRole,
-    /// Where peers reach it.
+    /// Address on which the instance serves its peers.
     pub link: net::SocketAddr,
-    /// How often it looks and shows itself.
+    /// Intervals of polls and heartbeats, and the lease timeout.
     pub pace: settings::common::PaceSettings,
 }
 
-/// Starts the thread that keeps the view.
+/// Starts the fleet thread.
 ///
 /// # Errors
 /// The thread cannot be started.
@@ -110,14 +112,14 @@
     link_client: link::LinkClient,
 ) -> io::Result<FleetHandle> {
     let current = sync::Arc::new(arc_swap::ArcSwap::from_pointee(FleetSnapshot::default()));
-    let (publish, changed) = watch::channel(0);
-    let (commands, received) = mpsc::channel(COMMAND_RING);
-    let view = FleetHandle {
+    let (change_sender, changed) = watch::channel(0);
+    let (commands, received) = mpsc::channel(COMMAND_QUEUE_CAPACITY);
+    let handle = FleetHandle {
         current: current.clone(),
         changed,
         commands,
     };
-    let shared = current;
+    let published = current;
     thread::Builder::new().name("fleet".into()).spawn(move || {
         let watcher = watcher::FleetWatcher {
             model: rc::Rc::new(cell::RefCell::new(model::FleetModel::new(
@@ -129,13 +131,13 @@
             clock,
             metrics,
             link_client,
-            current: shared,
-            publish: rc::Rc::new(publish),
+            current: published,
+            change_sender: rc::Rc::new(change_sender),
         };
         actix_rt::System::new().block_on(watcher.run(received));
     })?;
-    Ok(view)
+    Ok(handle)
 }
 
-/// Commands that may wait for the fleet's thread.
-const COMMAND_RING: usize = 64;
+/// Capacity of the queue of commands to the fleet thread; commands beyond it are dropped.
+const COMMAND_QUEUE_CAPACITY: usize = 64;
--- a/src/fleet/snapshot.rs
+++ b/src/fleet/snapshot.rs
@@ -1,4 +1,4 @@
-//! What a process knows of the fleet at one time.
+//! Immutable snapshot of the fleet, as one process sees it.
 
 use std::{collections, net, sync};
 
@@ -8,60 +8,61 @@
     ids, platform,
 };
 
-/// What a process does in the fleet.
+/// Role of a process in the fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum InstanceRole {
-    /// It answers callers.
+    /// Handles the requests of callers.
     Gateway,
-    /// It owns endpoints and runs batch work.
+    /// Owns endpoints and runs batch work.
     Dispatcher,
 }
 
-/// The object `instance/{id}`: a lease that its instance renews.
+/// Object `instance/{id}`, which is also the lease that its instance renews.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct InstanceRecord {
-    /// The instance.
+    /// Identifier of the instance.
     pub id: ids::InstanceId,
-    /// What it does.
+    /// Role of the instance.
     pub role: InstanceRole,
-    /// Where peers reach it.
+    /// Address on which the instance serves its peers.
     pub link: net::SocketAddr,
-    /// Its failure domain.
+    /// Failure domain of the instance.
     pub domain: ids::DomainName,
-    /// Differs at each renewal.
+    /// Heartbeat number, which differs at each renewal.
     pub beat: u64,
-    /// Bundle that it has in force.
+    /// Generation of the bundle that is active at the instance.
     pub generation: bundle::BundleGeneration,
-    /// Whether it takes no new work.
+    /// Whether the instance is draining: it takes no new work.
     pub leaving: bool,
 }
 
-/// What the process knows at one time.
+/// State of the fleet at one moment, as this process has read it.
 #[derive(Debug, Clone, Default)]
 pub struct FleetSnapshot {
-    /// The bundle in force here.
+    /// Active bundle of this process.
     pub bundle: sync::Arc<bundle::IndexedBundle>,
-    /// Endpoints, live and leaving.
+    /// Endpoints of the platform's list, including draining ones.
     pub endpoints: sync::Arc<Vec<platform::EndpointRecord>>,
-    /// Dispatchers that take work.
+    /// Live dispatchers that are not draining, as candidates for ownership.
     pub dispatchers: sync::Arc<Vec<ownership::OwnerCandidate>>,
-    /// Records of the live instances.
+    /// Records of the instances whose leases are valid.
     pub instances: sync::Arc<collections::BTreeMap<ids::InstanceId, InstanceRecord>>,
-    /// Jobs that run.
+    /// Manifests of the accepted jobs that have not ended.
     pub jobs: sync::Arc<collections::BTreeMap<ids::JobId, sync::Arc<job::JobManifest>>>,
-    /// Whether this instance was asked to stop.
-    pub stop_asked: bool,
-    /// Whether the object service was read once, or a peer told the bundle.
+    /// Whether there is a stop request for this instance.
+    pub stop_requested: bool,
+    /// Whether this process has caught up with the object service once, or activated a bundle from
+    /// a peer.
     pub synced: bool,
-    /// Whether the object service answered the latest call.
-    pub store_answers: bool,
-    /// When the object service was read last.
+    /// Whether the latest watch call to the object service succeeded.
+    pub store_reachable: bool,
+    /// Time of the latest successful watch response.
     pub read_at: clock::MonotonicTime,
 }
 
 impl FleetSnapshot {
-    /// The live dispatcher that owns an endpoint, and where it is reached.
+    /// Returns the live dispatcher that owns an endpoint, and the address for its peers.
     pub fn owner_of(
         &self,
         endpoint: &platform::EndpointRecord,
@@ -71,13 +72,14 @@
         Some((&record.id, record.link))
     }
 
-    /// Live gateways, at least one: the asker.
-    pub fn gateways(&self) -> usize {
-        let gateway = |r: &&InstanceRecord| r.role == InstanceRole::Gateway;
-        self.instances.values().filter(gateway).count().max(1)
+    /// Returns the number of live gateways. It is at least 1, since the calling process is a gateway
+    /// even if its own record has not been read yet.
+    pub fn gateway_count(&self) -> usize {
+        let is_gateway = |r: &&InstanceRecord| r.role == InstanceRole::Gateway;
+        self.instances.values().filter(is_gateway).count().max(1)
     }
 
-    /// Whether the instance renews its lease.
+    /// Returns whether the lease of an instance is valid.
     pub fn is_live(&self, id: &ids::InstanceId) -> bool {
         self.instances.contains_key(id)
     }
--- a/src/fleet/watcher.rs
+++ b/src/fleet/watcher.rs
@@ -1,4 +1,4 @@
-//! The thread that keeps the view: watch, list of endpoints, own lease, peers.
+//! Tasks of the fleet thread: object watch, endpoint poll, lease renewal and lease expiry.
 
 use std::{cell, net, rc, sync, time};
 
@@ -10,11 +10,12 @@
     protection, settle, store,
 };
 
-/// Longest wait of one watch.
+/// Timeout of one watch call, after which the service responds even without a change.
 const WATCH_WAIT: time::Duration = time::Duration::from_secs(30);
-/// What every process watches, in one call.
-const WATCHED: [&str; 4] = [documents::BUNDLE_HEAD_KEY, "instance/", "active/", "stop/"];
+/// Keys and key prefixes that every process watches, in one call.
+const WATCHED_KEYS: [&str; 4] = [documents::BUNDLE_HEAD_KEY, "instance/", "active/", "stop/"];
 
+/// Shared context of the tasks of the fleet thread.
 #[derive(Clone)]
 pub(super) struct FleetWatcher {
     pub(super) model: rc::Rc<cell::RefCell<model::FleetModel>>,
@@ -24,58 +25,61 @@
     pub(super) metrics: sync::Arc<metrics::MetricSet>,
     pub(super) link_client: link::LinkClient,
     pub(super) current: sync::Arc<arc_swap::ArcSwap<FleetSnapshot>>,
-    pub(super) publish: rc::Rc<watch::Sender<u64>>,
+    pub(super) change_sender: rc::Rc<watch::Sender<u64>>,
 }
 
 impl FleetWatcher {
-    /// Runs until the last view is dropped.
+    /// Runs the tasks until the last [`super::FleetHandle`] is dropped.
     pub(super) async fn run(self, mut commands: mpsc::Receiver<FleetCommand>) {
-        actix_rt::spawn(self.clone().remove_old_stop());
-        actix_rt::spawn(self.clone().run_watch());
-        actix_rt::spawn(self.clone().run_endpoints());
-        actix_rt::spawn(self.clone().run_heartbeat());
-        actix_rt::spawn(self.clone().run_leases());
+        actix_rt::spawn(self.clone().remove_old_stop_request());
+        actix_rt::spawn(self.clone().watch_objects());
+        actix_rt::spawn(self.clone().poll_endpoints());
+        actix_rt::spawn(self.clone().renew_at_heartbeats());
+        actix_rt::spawn(self.clone().expire_leases());
         while let Some(command) = commands.recv().await {
             match command {
-                FleetCommand::OfferBundle(offer) => self.take_offer(offer),
-                FleetCommand::Leave => {
-                    self.model.borrow_mut().leaving = true;
-                    self.renew().await;
+                FleetCommand::OfferBundle(offer) => self.apply_offer(offer),
+                FleetCommand::Drain => {
+                    self.model.borrow_mut().draining = true;
+                    self.renew_lease().await;
                 }
             }
         }
     }
 
+    /// Publishes a snapshot of the present state and notifies those that wait for a change.
     fn publish(&self) {
         let snapshot = self.model.borrow_mut().snapshot(&self.options);
         let generation = snapshot.bundle.generation.0 as i64;
         self.metrics.bundle_generation.set(generation);
         self.current.store(sync::Arc::new(snapshot));
-        self.publish.send_modify(|n| *n += 1);
+        self.change_sender.send_modify(|n| *n += 1);
     }
 
-    async fn run_watch(self) {
+    /// Watches the objects of the fleet; while the object service fails, queries peers for a
+    /// newer bundle.
+    async fn watch_objects(self) {
         let mut backoff = settle::JitteredBackoff::default();
         loop {
             let since = self.model.borrow().revision;
-            // A first reading need not wait for a change.
-            let first = since == store::ObjectRevision(0);
-            let wait = if first {
+            // The first call reads the present state, so it does not wait for a change.
+            let is_first = since == store::ObjectRevision(0);
+            let wait = if is_first {
                 time::Duration::ZERO
             } else {
                 WATCH_WAIT
             };
-            match self.store.watch(&WATCHED, since, wait).await {
+            match self.store.watch(&WATCHED_KEYS, since, wait).await {
                 Ok(response) => {
                     backoff = settle::JitteredBackoff::default();
-                    self.take_answer(response).await;
-                    let pace = time::Duration::from_millis(self.options.pace.watch_pace_ms);
-                    actix_rt::time::sleep(pace).await;
+                    self.apply_response(response).await;
+                    let interval = time::Duration::from_millis(self.options.pace.watch_pace_ms);
+                    actix_rt::time::sleep(interval).await;
                 }
                 Err(e) => {
                     log::warn!("event=watch_failed why=\"{e}\"");
-                    self.model.borrow_mut().store_answers = false;
-                    self.query_peers().await;
+                    self.model.borrow_mut().store_reachable = false;
+                    self.query_peers_for_bundle().await;
                     self.publish();
                     actix_rt::time::sleep(backoff.next_delay()).await;
                 }
@@ -83,24 +87,25 @@
         }
     }
 
-    async fn take_answer(&self, response: platform::WatchResponse) {
+    /// Applies a watch response, fetches the bundle that it announces, and publishes a snapshot.
+    async fn apply_response(&self, response: platform::WatchResponse) {
         self.model
             .borrow_mut()
-            .take_answer(&response, self.clock.now());
-        self.fetch_wanted().await;
-        self.model.borrow_mut().record_synced();
+            .apply_response(&response, self.clock.now());
+        self.fetch_pending_bundle().await;
+        self.model.borrow_mut().update_synced();
         self.publish();
     }
 
-    /// Fetches the accepted bundle if it is newer than the one in force.
-    async fn fetch_wanted(&self) {
-        let Some(entry) = self.model.borrow().wanted.clone() else {
+    /// Fetches the pending bundle, if there is one, and activates it.
+    async fn fetch_pending_bundle(&self) {
+        let Some(entry) = self.model.borrow().pending_bundle.clone() else {
             return;
         };
         match documents::read_document(self.store.as_ref(), &entry).await {
             Ok(document) => {
-                let view = bundle::IndexedBundle::new(entry.generation, document);
-                self.apply_bundle(view);
+                let bundle = bundle::IndexedBundle::new(entry.generation, document);
+                self.apply_bundle(bundle);
             }
             Err(e) => {
                 let generation = entry.generation;
@@ -109,20 +114,24 @@
         }
     }
 
-    fn apply_bundle(&self, view: bundle::IndexedBundle) {
-        let generation = view.generation;
-        if self.model.borrow_mut().take_bundle(view) {
+    /// Activates a bundle that is newer than the active one, and renews the lease at once, since
+    /// the record states the active generation.
+    fn apply_bundle(&self, bundle: bundle::IndexedBundle) {
+        let generation = bundle.generation;
+        if self.model.borrow_mut().apply_bundle(bundle) {
             log::info!("event=bundle_in_force generation={generation}");
             self.publish();
-            actix_rt::spawn(self.clone().renew_owned());
+            actix_rt::spawn(self.clone().renew_lease_owned());
         }
     }
 
-    async fn renew_owned(self) {
-        self.renew().await;
+    /// Renews the lease in a spawned task, which must own its context.
+    async fn renew_lease_owned(self) {
+        self.renew_lease().await;
     }
 
-    fn take_offer(&self, offer: link::BundleOffer) {
+    /// Activates a bundle from a peer if it is newer than the active one.
+    fn apply_offer(&self, offer: link::BundleOffer) {
         if offer.generation <= self.model.borrow().bundle.generation {
             return;
         }
@@ -136,8 +145,9 @@
         }
     }
 
-    /// Asks a few peers for a newer bundle while the object service is out.
-    async fn query_peers(&self) {
+    /// Queries up to `MAX_QUERIED_PEERS` peers, one after the other from a random start, until one
+    /// sends a newer bundle.
+    async fn query_peers_for_bundle(&self) {
         let known = self.model.borrow().bundle.generation;
         let own = self.options.id.clone();
         let peers: Vec<net::SocketAddr> = self
@@ -149,21 +159,21 @@
             .map(|r| r.link)
             .collect();
         let start = rand::random_range(0..peers.len().max(1));
-        let some = peers
+        let queried = peers
             .iter()
             .cycle()
             .skip(start)
-            .take(peers.len().min(ASKED_PEERS));
-        for peer in some {
+            .take(peers.len().min(MAX_QUERIED_PEERS));
+        for peer in queried {
             if let Some(offer) = self.link_client.newer_bundle(*peer, known).await {
-                self.take_offer(offer);
+                self.apply_offer(offer);
                 return;
             }
         }
     }
 
-    /// Removes a stop that was asked of an earlier process of this name, as it was done.
-    async fn remove_old_stop(self) {
+    /// Removes the stop request for an earlier process of this name, which has stopped since.
+    async fn remove_old_stop_request(self) {
         let key = format!("stop/{}", self.options.id);
         let class = call_budget::CallClass::Read;
         if let Ok(Some(found)) = self.store.get(class, &key).await {
@@ -173,8 +183,9 @@
         }
     }
 
-    async fn run_endpoints(self) {
-        let delay = time::Duration::from_millis(self.options.pace.endpoints_poll_ms);
+    /// Polls the platform's list of endpoints.
+    async fn poll_endpoints(self) {
+        let interval = time::Duration::from_millis(self.options.pace.endpoints_poll_ms);
         let mut known = None;
         loop {
             match self.store.endpoints(known).await {
@@ -184,32 +195,34 @@
                     self.publish();
                 }
                 Ok(None) => {}
-                // What is known stays in use: endpoints outlast the list's outage.
+                // The last list stays in use: the endpoints themselves outlast its outage.
                 Err(e) => log::debug!("event=endpoints_unread why=\"{e}\""),
             }
-            actix_rt::time::sleep(delay).await;
+            actix_rt::time::sleep(interval).await;
         }
     }
 
-    async fn run_heartbeat(self) {
+    /// Renews the lease at each heartbeat.
+    async fn renew_at_heartbeats(self) {
         loop {
-            self.renew().await;
+            self.renew_lease().await;
             actix_rt::time::sleep(self.options.pace.heartbeat()).await;
         }
     }
 
-    async fn renew(&self) {
+    /// Renews the own lease: writes the instance's record with a new heartbeat number.
+    async fn renew_lease(&self) {
         let record = {
             let mut model = self.model.borrow_mut();
-            model.beat = model.beat.wrapping_add(1);
+            model.heartbeat = model.heartbeat.wrapping_add(1);
             InstanceRecord {
                 id: self.options.id.clone(),
                 role: self.options.role,
                 link: self.options.link,
                 domain: self.options.domain.clone(),
-                beat: model.beat,
+                beat: model.heartbeat,
                 generation: model.bundle.generation,
-                leaving: model.leaving,
+                leaving: model.draining,
             }
         };
         let key = format!("instance/{}", record.id);
@@ -221,27 +234,29 @@
         }
     }
 
-    async fn run_leases(self) {
-        let delay = self.options.pace.heartbeat() / 2;
+    /// Checks leases twice per heartbeat, publishes a snapshot when the number of live ones changes,
+    /// and removes old records.
+    async fn expire_leases(self) {
+        let interval = self.options.pace.heartbeat() / 2;
         let mut live = 0;
         loop {
-            actix_rt::time::sleep(delay).await;
+            actix_rt::time::sleep(interval).await;
             let count = self.model.borrow_mut().tick_leases(self.clock.now());
             if count != live {
                 live = count;
                 self.publish();
             }
-            self.sweep_one().await;
+            self.remove_old_record().await;
         }
     }
 
-    /// Removes the record of an instance that is long gone.
-    async fn sweep_one(&self) {
+    /// Removes the record of at most one instance whose lease expired long ago.
+    async fn remove_old_record(&self) {
         if protection::is_disabled("lapse") {
             return;
         }
-        let gone = self.model.borrow().leases.removable_instances();
-        let Some(id) = gone.into_iter().find(|id| *id != self.options.id) else {
+        let removable = self.model.borrow().leases.removable_instances();
+        let Some(id) = removable.into_iter().find(|id| *id != self.options.id) else {
             return;
         };
         let class = call_budget::CallClass::Read;
@@ -252,5 +267,5 @@
     }
 }
 
-/// Peers asked at once for a newer bundle.
-const ASKED_PEERS: usize = 3;
+/// Number of peers that are queried for a newer bundle after a failed watch call.
+const MAX_QUERIED_PEERS: usize = 3;
--- a/src/gateway/admit.rs
+++ b/src/gateway/admit.rs
@@ -25,7 +25,7 @@
     context: &sync::Arc<context::GatewayContext>,
     terms: &caller_request::CallerTerms,
 ) -> error::ApiResult<WorkspaceSlot> {
-    let gateways = context.fleet.snapshot().gateways();
+    let gateways = context.fleet.snapshot().gateway_count();
     let workspace = &terms.workspace;
     let share = workspace_limit::WorkspaceShare::of_fleet(
         workspace.max_concurrency,
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -118,7 +118,7 @@
     /// The server's thread ended with an error.
     pub fn stop(self) -> io::Result<()> {
         self.context.begin_stop();
-        self.context.fleet.leave();
+        self.context.fleet.announce_draining();
         std::thread::sleep(UNREADY_SPAN);
         log::info!("event=gateway_stopping");
         let outcome = self.server.stop(!protection::is_disabled("graceful_stop"));
