--- a/src/explain/log_line.rs
+++ b/src/explain/log_line.rs
@@ -1,33 +1,34 @@
-//! One line of a log, taken apart.
+//! Parser for lines of the structured log.
 
 use std::{collections, fmt, str, time};
 
-/// When a line was written, by the clock of its process, in microseconds since the epoch.
+/// Time at which a line was written, by the clock of its process, in microseconds since the Unix
+/// epoch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, serde::Serialize)]
 pub struct LogTime(pub u64);
 
 impl LogTime {
-    /// Time from an earlier line to this one; nothing if it is not later.
+    /// Returns the time since `earlier`, or zero if `earlier` is later.
     pub fn since(self, earlier: Self) -> time::Duration {
         time::Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
 
-    /// The time so many seconds later.
+    /// Returns the time `seconds` later; a negative number counts as zero.
     pub fn plus_seconds(self, seconds: f64) -> Self {
         Self(self.0 + (seconds.max(0.0) * 1e6) as u64)
     }
 }
 
-/// A text is no time.
+/// Error for a text that is not an RFC 3339 time in UTC since the Unix epoch.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("'{0}' is no time like 2026-05-04T10:20:30Z")]
-pub struct TimeError(String);
+#[error("'{0}' is not a time such as 2026-05-04T10:20:30Z")]
+pub struct LogTimeError(String);
 
 impl str::FromStr for LogTime {
-    type Err = TimeError;
+    type Err = LogTimeError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        let error = || TimeError(text.to_owned());
+        let error = || LogTimeError(text.to_owned());
         let time = humantime::parse_rfc3339(text).map_err(|_| error())?;
         let since = time.duration_since(time::UNIX_EPOCH).map_err(|_| error())?;
         Ok(Self(since.as_micros() as u64))
@@ -41,29 +42,29 @@
     }
 }
 
-/// A line.
+/// Parsed line of a log.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize)]
 pub struct LogLine {
-    /// When it was written.
+    /// Time at which the line was written.
     pub at: LogTime,
-    /// The process that wrote it.
+    /// Name of the process that wrote the line.
     pub process: String,
-    /// What happened.
+    /// Name of the event, from the field `event`.
     pub event: String,
-    /// The other fields.
+    /// Other fields, by name.
     pub fields: collections::BTreeMap<String, String>,
 }
 
 impl LogLine {
-    /// Takes a line apart; nothing if it is none of this project's.
+    /// Parses a line; returns `None` if it is not in the format of this project's logs.
     ///
-    /// `file` names the process where no collector did.
+    /// `file` is used as the name of the process if the line has none from a log collector.
     pub fn parse(text: &str, file: &str) -> Option<Self> {
         let (head, rest) = text.split_once(" [")?;
         let (_, pairs) = rest.split_once("] ")?;
-        let mut words: Vec<_> = head.split_whitespace().collect();
-        let at = words.pop()?.parse().ok()?;
-        let process = words.pop().unwrap_or(file).to_owned();
+        let mut head_parts: Vec<_> = head.split_whitespace().collect();
+        let at = head_parts.pop()?.parse().ok()?;
+        let process = head_parts.pop().unwrap_or(file).to_owned();
         let mut fields: collections::BTreeMap<_, _> = split_pairs(pairs).into_iter().collect();
         let event = fields.remove("event")?;
         Some(Self {
@@ -74,17 +75,17 @@
         })
     }
 
-    /// A field.
+    /// Returns the value of a field.
     pub fn field(&self, name: &str) -> Option<&str> {
         self.fields.get(name).map(String::as_str)
     }
 
-    /// A field that holds a number.
+    /// Returns the value of a field as an integer, or `None` if it is missing or not an integer.
     pub fn number(&self, name: &str) -> Option<i64> {
         self.field(name)?.parse().ok()
     }
 
-    /// The fields as they stood, by name.
+    /// Returns the fields as `name=value`, sorted by name and without quotes.
     pub fn details(&self) -> String {
         let fields = self.fields.iter();
         let fields: Vec<_> = fields
@@ -94,8 +95,10 @@
     }
 }
 
-/// Splits `a=1 b="two words" c=3`. A quoted value may hold quotes: it ends at
-/// one behind which nothing or the next field stands.
+/// Splits pairs such as `a=1 b="two words" c=3`.
+///
+/// Quotes inside a quoted value are not escaped: the value ends at the first quote that is followed
+/// by the next field or the end of the line.
 fn split_pairs(text: &str) -> Vec<(String, String)> {
     let mut pairs = Vec::new();
     let mut rest = text.trim_end();
@@ -110,6 +113,7 @@
     pairs
 }
 
+/// Splits a text behind its opening quote into the quoted value and the rest of the line.
 fn split_quoted(text: &str) -> (&str, &str) {
     for (at, _) in text.match_indices('"') {
         let next = &text[at + 1..];
@@ -120,6 +124,7 @@
     (text, "")
 }
 
+/// Returns whether a text begins with a space and `name=`.
 fn starts_with_field(text: &str) -> bool {
     let Some(text) = text.strip_prefix(' ') else {
         return false;
--- a/src/explain/mod.rs
+++ b/src/explain/mod.rs
@@ -1,9 +1,8 @@
-//! Reads the structured logs of processes: the path of one request or job over
-//! all of them, and what was lost in a span of time, by cause.
+//! Analysis of the structured logs of processes: the trace of one request or job across all
+//! processes, and the late and lost requests and jobs of a period, by cause.
 //!
-//! It knows the lines that the programs of this project write, and nothing of
-//! how they were collected, but that a collector may put the name of the
-//! process before a line.
+//! Only the line format of this project's programs is assumed. The one assumption about the log
+//! collector is that it may put the name of the process in front of a line.
 
 pub mod log_line;
 pub mod loss_report;
--- a/src/explain/trace.rs
+++ b/src/explain/trace.rs
@@ -1,20 +1,20 @@
-//! The path of one request, job or item over all processes.
+//! Trace of one request, job, item or endpoint across all processes.
 
 use super::log_line::LogLine;
 
-/// Fields that name what a line is about.
-const NAMING_FIELDS: [&str; 4] = ["request", "job", "item", "endpoint"];
+/// Fields with the identifiers of the entities that a line is about.
+const ID_FIELDS: [&str; 4] = ["request", "job", "item", "endpoint"];
 
-/// The lines about something of this name, in order of time.
+/// Returns the lines about the entity with this identifier, sorted by time.
 ///
-/// Clocks of processes may differ: lines of one process are in their order,
-/// those of two processes as far as their clocks agree.
+/// Lines with equal times keep their order. Since the clocks of processes may differ, the order of
+/// lines of different processes is only as exact as their clocks agree.
 pub fn trace<'a>(lines: &'a [LogLine], id: &str) -> Vec<&'a LogLine> {
     let is_about = |line: &&LogLine| {
-        let mut names = NAMING_FIELDS.iter().filter_map(|name| line.field(name));
-        names.any(|name| name == id)
+        let mut ids = ID_FIELDS.iter().filter_map(|field| line.field(field));
+        ids.any(|found| found == id)
     };
-    let mut found: Vec<_> = lines.iter().filter(is_about).collect();
-    found.sort_by_key(|line| line.at);
-    found
+    let mut matching: Vec<_> = lines.iter().filter(is_about).collect();
+    matching.sort_by_key(|line| line.at);
+    matching
 }
--- a/tests/explain.rs
+++ b/tests/explain.rs
@@ -1,4 +1,4 @@
-//! Log lines taken apart, and what they tell of a span of time.
+//! Tests of the log analysis: the parser, traces, and the report on late and lost requests and jobs.
 
 use jayhollow::explain::{
     log_line::{LogLine, LogTime},
@@ -7,15 +7,18 @@
 
 fn line(second: u32, text: &str) -> LogLine {
     let text = format!("2026-05-04T10:20:{second:02}.250Z [INFO] {text}");
-    LogLine::parse(&text, "gateway-1").expect("it is a line")
+    LogLine::parse(&text, "gateway-1").expect("valid log line")
 }
 
 #[test]
-fn a_line_is_taken_apart() {
+fn a_line_is_parsed_into_its_fields() {
     let text = "  8.15 edge-1 2026-05-04T10:20:30.000005123Z [WARN] event=request_given_up \
                 request=r-1 error=\"NotRun(300ms, \"all are full\")\" ran=0";
-    let line = LogLine::parse(text, "file").expect("it is a line");
-    assert_eq!(line.process, "edge-1", "a collector named it");
+    let line = LogLine::parse(text, "file").expect("valid log line");
+    assert_eq!(
+        line.process, "edge-1",
+        "the name comes from the log collector"
+    );
     assert_eq!(line.at.to_string(), "2026-05-04T10:20:30.000005Z");
     assert_eq!(line.event, "request_given_up");
     assert_eq!(line.field("request"), Some("r-1"));
@@ -23,7 +26,7 @@
     assert_eq!(error, Some("NotRun(300ms, \"all are full\")"));
     assert_eq!(line.number("ran"), Some(0));
     let plain = "2026-05-04T10:20:30Z [INFO] event=started instance=a";
-    let plain = LogLine::parse(plain, "file").expect("it is a line");
+    let plain = LogLine::parse(plain, "file").expect("valid log line");
     assert_eq!(plain.process, "file");
 }
 
@@ -33,20 +36,20 @@
 #[case::no_event("2026-05-04T10:20:30Z [INFO] instance=a")]
 #[case::other("what happened")]
 #[case::wrong_time("yesterday [INFO] event=started")]
-fn other_lines_are_passed_over(#[case] text: &str) {
+fn lines_of_other_formats_are_ignored(#[case] text: &str) {
     assert_eq!(LogLine::parse(text, "file"), None);
 }
 
 #[test]
-fn a_path_holds_all_that_names_it_in_order() {
+fn a_trace_has_all_lines_with_the_identifier_sorted_by_time() {
     let lines = [
         line(9, "event=request_end request=r-1 outcome=answered"),
         line(7, "event=attempt request=r-1 endpoint=e-1"),
         line(8, "event=attempt request=r-2 endpoint=e-1"),
     ];
     let events = |id| -> Vec<_> {
-        let path = trace::trace(&lines, id);
-        path.iter().map(|l| l.event.as_str()).collect()
+        let matching = trace::trace(&lines, id);
+        matching.iter().map(|l| l.event.as_str()).collect()
     };
     assert_eq!(events("r-1"), ["attempt", "request_end"]);
     assert_eq!(events("e-1"), ["attempt", "attempt"]);
@@ -87,7 +90,7 @@
     assert_eq!(row("late at its first endpoint"), Some((1, 301, "late")));
     let again = row("late after an attempt: no answer within N ms");
     assert_eq!(again, Some((1, 700, "again")));
-    assert_eq!(row("refused: no place"), Some((1, 4, "full")));
+    assert_eq!(row("refused: no free slot"), Some((1, 4, "full")));
     let failed = row("failed: reset (os error N)");
     assert_eq!(failed, Some((2, 8, "reset-2")));
     let counted: usize = report.rows.iter().map(|r| r.count).sum();
@@ -101,19 +104,19 @@
 #[case::ended(&[(12, "event=end_accepted job=j")], None)]
 #[case::store(
     &[(12, "event=results_uncommitted job=j"), (40, "event=results_committed job=j results=2")],
-    Some("late: the store did not take results"))]
+    Some("late: the store did not accept results"))]
 #[case::owner(
     &[(13, "event=job_taken job=j due_ms=1777890018250"),
       (40, "event=results_committed job=j results=2")],
-    Some("late: it waited or ran long"))]
+    Some("late: long wait or run time"))]
 #[case::slots(
     &[(13, "event=item_run job=j end=\"Preempted\""),
       (40, "event=results_committed job=j results=2")],
-    Some("late: its items lost places to online requests"))]
+    Some("late: its items lost slots to online requests"))]
 #[case::unfinished(
     &[(13, "event=results_committed job=j results=1")],
-    Some("not done in the logs: it waited or ran long"))]
-fn late_jobs_are_told_by_cause(#[case] more: &[(u32, &str)], #[case] expected: Option<&str>) {
+    Some("not done in the logs: long wait or run time"))]
+fn late_jobs_are_counted_by_cause(#[case] more: &[(u32, &str)], #[case] expected: Option<&str>) {
     let mut lines = vec![
         line(0, "event=job_submitted job=j items=2 outcome=Accepted"),
         line(0, "event=job_taken job=j due_ms=1777890018250"),
@@ -126,7 +129,7 @@
 }
 
 #[test]
-fn a_job_that_was_taken_late_says_so() {
+fn a_job_that_was_accepted_late_is_reported() {
     let lines = [
         line(0, "event=job_submitted job=j items=2 outcome=Refused"),
         line(3, "event=job_submitted job=j items=2 outcome=Accepted"),
@@ -134,11 +137,11 @@
     ];
     let report = loss_report::report(&lines, LogTime(0), LogTime(u64::MAX));
     let cause = &report.rows[0].cause;
-    assert_eq!(cause, "accepted late: the store took it late");
+    assert_eq!(cause, "accepted late: the store was slow to accept it");
 }
 
 #[test]
-fn each_step_of_a_span_is_reported_on_by_itself() {
+fn each_step_of_a_period_has_its_own_report() {
     let end = |second, id: &str, outcome: &str| {
         let text = format!(
             "event=request_end request={id} route=r outcome={outcome} ms=9 first_ms=9 \
@@ -160,5 +163,5 @@
     assert_eq!(counts, [(0.0, 2, 1), (1.0, 0, 0), (2.0, 1, 0)]);
     let whole = loss_report::report(&lines, at(1), at(4));
     let all: usize = steps.iter().map(|(_, report)| report.requests).sum();
-    assert_eq!(all, whole.requests, "steps sum to the whole");
+    assert_eq!(all, whole.requests, "the steps add up to the whole period");
 }
