--- a/src/explain/loss_report.rs
+++ b/src/explain/loss_report.rs
@@ -144,7 +144,7 @@
         ("answered", _) if !is_late => None,
         ("answered", Some(reason)) => Some(format!("late after an attempt: {reason}")),
         ("answered", None) => Some("late at its first endpoint".into()),
-        ("refused", None) => Some("refused: no free slot".into()),
+        ("refused", None) => Some("refused: no place".into()),
         (outcome, Some(reason)) => Some(format!("{outcome}: {reason}")),
         (outcome, None) => Some(outcome.to_owned()),
     }
@@ -203,7 +203,7 @@
             return Some("never accepted".into());
         };
         if accepted.since(submitted).as_millis() > MAX_ACCEPTANCE_MS {
-            return Some("accepted late: the store was slow to accept it".into());
+            return Some("accepted late: the store took it late".into());
         }
         if self.is_ended || !self.is_late() {
             return None;
@@ -213,10 +213,10 @@
             None => "not done in the logs",
         };
         let reason = match (self.uncommitted, self.owners.len(), self.preempted) {
-            (1.., _, _) => "the store did not accept results",
+            (1.., _, _) => "the store did not take results",
             (0, 2.., _) => "its owner changed",
-            (0, _, 1..) => "its items lost slots to online requests",
-            _ => "long wait or run time",
+            (0, _, 1..) => "its items lost places to online requests",
+            _ => "it waited or ran long",
         };
         Some(format!("{delay}: {reason}"))
     }
