--- a/src/dispatcher/batch_planner.rs
+++ b/src/dispatcher/batch_planner.rs
@@ -1,4 +1,4 @@
-//! Planning on the batch thread: which chunks to claim, which jobs to look at.
+//! Planning on the batch thread: selects the chunks to claim and the jobs to poll.
 
 use std::{cell, rc, sync, time};
 
@@ -11,26 +11,26 @@
     fleet, ids, wire,
 };
 
-/// Pause between plans while too little work is in hand.
-const LOW_PLAN_PAUSE: time::Duration = time::Duration::from_millis(10);
-/// Pause between plans otherwise.
-const PLAN_PAUSE: time::Duration = time::Duration::from_millis(200);
-/// Looks at jobs under way at once.
-const MAX_LOOKS: usize = 4;
-/// Claims under way at once.
+/// Interval between plans while fewer than `low_water_items` items wait.
+const LOW_WORK_PLAN_INTERVAL: time::Duration = time::Duration::from_millis(10);
+/// Interval between plans otherwise.
+const PLAN_INTERVAL: time::Duration = time::Duration::from_millis(200);
+/// Maximum number of concurrent polls of jobs.
+const MAX_POLLS: usize = 4;
+/// Maximum number of concurrent claims.
 const MAX_CLAIMS: usize = 4;
 
 impl batch_runner::BatchRunner {
-    /// Claims chunks while too little waits, and looks at jobs that may have ended.
+    /// Claims chunks while too few items wait, and polls jobs that are due.
     pub(super) fn plan_jobs(
         &self,
         snapshot: &sync::Arc<fleet::FleetSnapshot>,
         now: clock::MonotonicTime,
     ) {
-        if !self.is_time_to_plan(now) {
+        if !self.is_plan_due(now) {
             return;
         }
-        let services = self.context.board.services();
+        let services = self.context.ledgers.services();
         let mut jobs: Vec<&job::JobManifest> = snapshot
             .jobs
             .values()
@@ -50,15 +50,22 @@
             if job.cancelling_at.is_none() {
                 self.claim_from(job, &group, snapshot, now);
             }
-            self.look_at(job, first, now);
+            self.poll_job(job, first, now);
         }
     }
 
-    /// Planning takes time in proportion to the active jobs: seldom if enough work is in hand.
-    fn is_time_to_plan(&self, now: clock::MonotonicTime) -> bool {
+    /// Returns whether the next plan is due, and records its time if so.
+    ///
+    /// The cost of a plan is proportional to the number of active jobs, so plans are less
+    /// frequent while enough items wait.
+    fn is_plan_due(&self, now: clock::MonotonicTime) -> bool {
         let mut state = self.state.borrow_mut();
         let low = state.waiting_items() < self.context.settings.batch.low_water_items;
-        let delay = if low { LOW_PLAN_PAUSE } else { PLAN_PAUSE };
+        let delay = if low {
+            LOW_WORK_PLAN_INTERVAL
+        } else {
+            PLAN_INTERVAL
+        };
         if now.since(state.planned_at) < delay {
             return false;
         }
@@ -66,15 +73,16 @@
         true
     }
 
-    /// The dispatchers that work on a job: owners of endpoints that serve it.
+    /// Returns the dispatchers that work on a job, selected from the owners of endpoints that
+    /// serve it. The first one is the leader.
     fn group_of(&self, job: &job::JobManifest) -> rc::Rc<Vec<ownership::OwnerCandidate>> {
-        let epoch = self.context.board.epoch();
+        let epoch = self.context.ledgers.epoch();
         let mut state = self.state.borrow_mut();
         let known = state.groups.get(&job.id).filter(|(at, _)| *at == epoch);
         if let Some((_, group)) = known {
             return group.clone();
         }
-        let owners = self.context.board.owners_of(&job.services);
+        let owners = self.context.ledgers.owners_of(&job.services);
         let group = job_plan::group(&job.id, job.chunk_items.len(), owners);
         let group = rc::Rc::new(group);
         state.groups.insert(job.id.clone(), (epoch, group.clone()));
@@ -94,7 +102,7 @@
             let enough = state.waiting_items() >= batch.low_water_items
                 || state.chunks.len() + state.claiming.len() >= batch.max_chunks
                 || state.claiming.len() >= MAX_CLAIMS
-                || now < state.claim_again_at;
+                || now < state.next_claim_at;
             if enough {
                 return;
             }
@@ -139,7 +147,7 @@
             claims::ClaimOutcome::Held(holder) => job_plan::ChunkStatus::Held(holder),
             claims::ClaimOutcome::Failed(e) => {
                 log::warn!("event=claim_failed job={} chunk={index} why=\"{e}\"", key.0);
-                state.claim_again_at = self.context.clock.now() + batch_runner::STORE_PAUSE;
+                state.next_claim_at = self.context.clock.now() + batch_runner::STORE_RETRY_DELAY;
                 job_plan::ChunkStatus::Unknown
             }
         };
@@ -150,10 +158,11 @@
         self.wake.notify_one();
     }
 
-    /// Reads a job's chunks when that may tell something new; the first ends the job.
-    fn look_at(&self, job: &job::JobManifest, first: bool, now: clock::MonotonicTime) {
+    /// Polls a job's chunk states if that is due, and ends the job if possible. `first` is set on
+    /// the leader of the job's group.
+    fn poll_job(&self, job: &job::JobManifest, first: bool, now: clock::MonotonicTime) {
         let mut state = self.state.borrow_mut();
-        if state.looking.len() >= MAX_LOOKS {
+        if state.polling.len() >= MAX_POLLS {
             return;
         }
         let terms = job_plan::PollTerms {
@@ -169,18 +178,18 @@
         if !plan.is_poll_due(terms, now) {
             return;
         }
-        if !state.looking.insert(job.id.clone()) {
+        if !state.polling.insert(job.id.clone()) {
             return;
         }
         let runner = self.clone();
         let job = job.clone();
-        let looking = async move {
-            let looked = job_close::look(&runner.context, &job, first).await;
+        let polling = async move {
+            let polled = job_close::poll(&runner.context, &job, first).await;
             let mut state = runner.state.borrow_mut();
-            state.looking.remove(&job.id);
+            state.polling.remove(&job.id);
             let now = runner.context.clock.now();
             if let Some(plan) = state.plans.get_mut(&job.id) {
-                match looked {
+                match polled {
                     Ok(chunks) => plan.record_all(&chunks, runner.context.id(), now),
                     Err(e) => {
                         plan.record_failed_poll(now);
@@ -191,6 +200,6 @@
             drop(state);
             runner.wake.notify_one();
         };
-        actix_rt::spawn(looking.boxed_local());
+        actix_rt::spawn(polling.boxed_local());
     }
 }
--- a/src/dispatcher/batch_runner.rs
+++ b/src/dispatcher/batch_runner.rs
@@ -1,4 +1,4 @@
-//! The batch thread: claims chunks, fills the endpoints' room, commits, ends jobs.
+//! The batch thread: claims chunks, runs their items in free slots, commits results and ends jobs.
 
 use std::{cell, collections, rc, sync, time};
 
@@ -11,53 +11,55 @@
     fleet, ids, platform, protection, wire,
 };
 
-/// Pause between rounds while chunks are in hand.
-const BUSY_PAUSE: time::Duration = time::Duration::from_millis(5);
-/// Pause between rounds otherwise, unless something wakes the thread.
-const IDLE_PAUSE: time::Duration = time::Duration::from_millis(500);
-/// Pause after a claim or a commit that the object service did not answer.
-pub(super) const STORE_PAUSE: time::Duration = time::Duration::from_millis(500);
+/// Interval between rounds while this dispatcher holds chunks.
+const BUSY_ROUND_INTERVAL: time::Duration = time::Duration::from_millis(5);
+/// Interval between rounds otherwise; a notification starts a round at once.
+const IDLE_ROUND_INTERVAL: time::Duration = time::Duration::from_millis(500);
+/// Delay before the next claim or commit after the object service failed.
+pub(super) const STORE_RETRY_DELAY: time::Duration = time::Duration::from_millis(500);
 
-/// Names a chunk across jobs.
+/// Identifier of a chunk across jobs.
 pub(super) type ChunkKey = (ids::JobId, ids::ChunkIndex);
-/// A chunk in hand, shared by the tasks of the batch thread.
+/// A held chunk, shared by the tasks of the batch thread.
 pub(super) type SharedChunk = rc::Rc<cell::RefCell<chunk_work::ChunkWork>>;
 
-/// Asks the batch thread to give up its work; answered when it has.
+/// Request to the batch thread to release its chunks; signalled once all are released.
 pub type StopRequest = oneshot::Sender<()>;
 
-/// What the batch thread has in hand and knows of its jobs.
+/// Held chunks, jobs and running streams of the batch thread.
 #[derive(Default)]
 pub(super) struct RunnerState {
     pub(super) chunks: collections::BTreeMap<ChunkKey, SharedChunk>,
     pub(super) plans: collections::HashMap<ids::JobId, job_plan::JobPlan>,
-    /// Group of each job, and the epoch of the owners that it was made from.
+    /// Group of each job, with the epoch of the owner table from which it was computed.
     pub(super) groups:
         collections::HashMap<ids::JobId, (u64, rc::Rc<Vec<ownership::OwnerCandidate>>)>,
     pub(super) planned_at: clock::MonotonicTime,
-    /// Jobs that the plans were last compared with.
-    pub(super) seen_jobs: sync::Arc<collections::BTreeMap<ids::JobId, sync::Arc<job::JobManifest>>>,
+    /// Jobs of the last snapshot that was applied to the plans and chunks.
+    pub(super) applied_jobs:
+        sync::Arc<collections::BTreeMap<ids::JobId, sync::Arc<job::JobManifest>>>,
     pub(super) order: job_order::JobOrder,
-    /// Streams that run, and the chunk that each is for.
+    /// Running streams, each with the chunk of its item.
     pub(super) streams: collections::HashMap<(ids::EndpointId, admission::StreamNumber), ChunkKey>,
     pub(super) health: health::HealthTracker,
     pub(super) claiming: collections::HashSet<ChunkKey>,
-    pub(super) looking: collections::HashSet<ids::JobId>,
-    pub(super) claim_again_at: clock::MonotonicTime,
-    pub(super) round_at: clock::MonotonicTime,
-    /// When this process came back from a pause, until it has read the service again.
-    pub(super) paused_until_read: Option<clock::MonotonicTime>,
+    pub(super) polling: collections::HashSet<ids::JobId>,
+    pub(super) next_claim_at: clock::MonotonicTime,
+    pub(super) last_round_at: clock::MonotonicTime,
+    /// Time at which this process resumed from a suspension; cleared once a snapshot was read
+    /// from the object service after it.
+    pub(super) resumed_at: Option<clock::MonotonicTime>,
     pub(super) stop: Option<StopRequest>,
 }
 
 impl RunnerState {
-    /// Items in hand that wait for room.
+    /// Returns the number of items of held chunks that wait for a free slot.
     pub(super) fn waiting_items(&self) -> usize {
         self.chunks.values().map(|w| w.borrow().waiting()).sum()
     }
 }
 
-/// The batch thread's loop and state.
+/// Main loop of the batch thread, and its state.
 #[derive(Clone)]
 pub struct BatchRunner {
     pub(super) context: sync::Arc<context::DispatcherContext>,
@@ -67,10 +69,10 @@
 }
 
 impl BatchRunner {
-    /// A runner for the thread that it is made on.
+    /// Creates a runner; it must run on the calling thread.
     pub fn new(context: sync::Arc<context::DispatcherContext>) -> Self {
         let state = RunnerState {
-            round_at: context.clock.now(),
+            last_round_at: context.clock.now(),
             ..RunnerState::default()
         };
         Self {
@@ -81,34 +83,38 @@
         }
     }
 
-    /// Runs until a stop was asked for and all work is given up, or `stops` is closed.
-    pub async fn run(self, mut stops: mpsc::Receiver<StopRequest>) {
+    /// Runs until a stop was requested and all chunks are released, or until `stop_requests` is closed.
+    pub async fn run(self, mut stop_requests: mpsc::Receiver<StopRequest>) {
         let mut changes = self.context.fleet.changes();
         loop {
-            self.round();
+            self.run_round();
             if self.finish_stop() {
                 return;
             }
             let busy = !self.state.borrow().chunks.is_empty();
-            let delay = if busy { BUSY_PAUSE } else { IDLE_PAUSE };
+            let delay = if busy {
+                BUSY_ROUND_INTERVAL
+            } else {
+                IDLE_ROUND_INTERVAL
+            };
             tokio::select! {
-                stop = stops.recv() => match stop {
+                stop = stop_requests.recv() => match stop {
                     Some(stop) => self.begin_stop(stop),
                     None => return,
                 },
                 () = self.wake.notified() => {}
-                () = self.context.board.changed.notified() => {}
-                _ = changes.changed() => self.take_snapshot(),
+                () = self.context.ledgers.changed.notified() => {}
+                _ = changes.changed() => self.refresh_ledgers(),
                 () = actix_rt::time::sleep(delay) => {}
             }
         }
     }
 
-    fn take_snapshot(&self) {
+    fn refresh_ledgers(&self) {
         let snapshot = self.context.fleet.snapshot();
         let batch = &self.context.settings.batch;
         self.context
-            .board
+            .ledgers
             .refresh(&snapshot, self.context.id(), batch);
     }
 
@@ -117,7 +123,7 @@
         for work in self.state.borrow().chunks.values() {
             work.borrow_mut().release();
         }
-        self.context.board.cancel_all();
+        self.context.ledgers.cancel_all();
     }
 
     fn finish_stop(&self) -> bool {
@@ -132,13 +138,13 @@
         }
     }
 
-    fn round(&self) {
+    fn run_round(&self) {
         let snapshot = self.context.fleet.snapshot();
         let now = self.context.clock.now();
         if !self.record_round(&snapshot, now) {
             return;
         }
-        self.drop_ended(&snapshot);
+        self.apply_job_changes(&snapshot);
         self.start_items();
         self.start_commits(now);
         if self.state.borrow().stop.is_none() && snapshot.synced {
@@ -146,30 +152,33 @@
         }
     }
 
-    /// Notices a long pause of the process; false until the service was read again.
+    /// Records a round and detects a suspension of the process for the lease timeout or longer.
+    ///
+    /// Returns false from then on until a snapshot was read from the object service, because
+    /// other instances may have taken over the chunks.
     fn record_round(&self, snapshot: &fleet::FleetSnapshot, now: clock::MonotonicTime) -> bool {
         let mut state = self.state.borrow_mut();
-        if now.since(state.round_at) >= self.context.settings.pace.lease_timeout() {
-            log::warn!("event=paused ms={}", now.since(state.round_at).as_millis());
-            state.paused_until_read = Some(now);
+        if now.since(state.last_round_at) >= self.context.settings.pace.lease_timeout() {
+            log::warn!(
+                "event=paused ms={}",
+                now.since(state.last_round_at).as_millis()
+            );
+            state.resumed_at = Some(now);
         }
-        state.round_at = now;
-        if state
-            .paused_until_read
-            .is_some_and(|at| snapshot.read_at > at)
-        {
-            state.paused_until_read = None;
+        state.last_round_at = now;
+        if state.resumed_at.is_some_and(|at| snapshot.read_at > at) {
+            state.resumed_at = None;
         }
-        state.paused_until_read.is_none()
+        state.resumed_at.is_none()
     }
 
-    /// Gives up the chunks of jobs that were cancelled, and plans of jobs that ended.
-    fn drop_ended(&self, snapshot: &fleet::FleetSnapshot) {
+    /// Releases the chunks of cancelled jobs, and drops the plans and groups of ended jobs.
+    fn apply_job_changes(&self, snapshot: &fleet::FleetSnapshot) {
         let mut state = self.state.borrow_mut();
-        if sync::Arc::ptr_eq(&state.seen_jobs, &snapshot.jobs) {
+        if sync::Arc::ptr_eq(&state.applied_jobs, &snapshot.jobs) {
             return;
         }
-        state.seen_jobs = snapshot.jobs.clone();
+        state.applied_jobs = snapshot.jobs.clone();
         state.plans.retain(|id, _| snapshot.jobs.contains_key(id));
         state.groups.retain(|id, _| snapshot.jobs.contains_key(id));
         for (key, work) in &state.chunks {
@@ -182,17 +191,17 @@
         }
     }
 
-    /// Cancels the streams of a chunk at their engines.
+    /// Cancels the running streams of a chunk.
     fn cancel_streams(&self, state: &RunnerState, key: &ChunkKey) {
         let streams = state.streams.iter().filter(|(_, chunk)| *chunk == key);
         for ((endpoint, number), _) in streams {
-            self.context.board.cancel(endpoint, *number);
+            self.context.ledgers.cancel_stream(endpoint, *number);
         }
     }
 
-    /// Starts items wherever an endpoint has room.
+    /// Starts items in the free slots of endpoints that are not ejected.
     fn start_items(&self) {
-        for (endpoint, free_slots) in self.context.board.endpoints_with_free_slots() {
+        for (endpoint, free_slots) in self.context.ledgers.endpoints_with_free_slots() {
             let now = self.context.clock.now();
             if self.state.borrow().health.is_ejected(&endpoint.id, now) {
                 continue;
@@ -209,7 +218,7 @@
         let Some((key, work, pending)) = self.take_item(&endpoint.service) else {
             return false;
         };
-        let Some(stream) = self.context.board.begin(&endpoint.id) else {
+        let Some(stream) = self.context.ledgers.begin_stream(&endpoint.id) else {
             work.borrow_mut().put_back(pending);
             return false;
         };
@@ -225,13 +234,13 @@
             let context = &runner.context;
             let end = item_run::run(context, &runner.client, &item, &pending, stream).await;
             runner.state.borrow_mut().streams.remove(&running);
-            runner.record_end(&key, &work, &item, pending, &endpoint, end);
+            runner.record_attempt(&key, &work, &item, pending, &endpoint, end);
             runner.wake.notify_one();
         });
         true
     }
 
-    /// The next item for a service, from the job that goes first.
+    /// Takes the next item for a service from the first job in order that has one.
     fn take_item(
         &self,
         service: &ids::ServiceName,
@@ -260,8 +269,8 @@
         None
     }
 
-    /// Notes how an attempt of an item ended.
-    fn record_end(
+    /// Records the end of an attempt, and puts the item back into the queue if it is to run again.
+    fn record_attempt(
         &self,
         key: &ChunkKey,
         work: &SharedChunk,
@@ -349,7 +358,7 @@
         }
     }
 
-    /// Writes a commit, over an outage as long as it takes.
+    /// Writes a commit, with retries until the object service responds.
     async fn run_commit(
         self,
         key: ChunkKey,
@@ -363,14 +372,14 @@
                     let now = self.context.clock.now();
                     let held = work.borrow_mut().record_committed(&planned, revision, now);
                     if !held {
-                        self.let_go(&key, work.borrow().is_done());
+                        self.remove_chunk(&key, work.borrow().is_done());
                     }
                     break;
                 }
                 commits::CommitOutcome::Lost => {
                     log::warn!("event=claim_lost job={} chunk={}", key.0, key.1);
                     work.borrow_mut().release();
-                    self.let_go(&key, false);
+                    self.remove_chunk(&key, false);
                     break;
                 }
                 commits::CommitOutcome::Failed(e) => {
@@ -379,14 +388,14 @@
                         key.0,
                         key.1
                     );
-                    actix_rt::time::sleep(STORE_PAUSE).await;
+                    actix_rt::time::sleep(STORE_RETRY_DELAY).await;
                 }
             }
         }
         self.wake.notify_one();
     }
 
-    fn let_go(&self, key: &ChunkKey, done: bool) {
+    fn remove_chunk(&self, key: &ChunkKey, done: bool) {
         let mut state = self.state.borrow_mut();
         state.chunks.remove(key);
         let mut held = self.context.held.lock().unwrap_or_else(|e| e.into_inner());
--- a/src/dispatcher/chunk_work.rs
+++ b/src/dispatcher/chunk_work.rs
@@ -1,4 +1,4 @@
-//! A chunk in hand: what waits, what runs, what has results, what to commit next.
+//! State of a held chunk: waiting and running items, uncommitted results and the next commit.
 
 use std::{collections, rc, sync, time};
 
@@ -8,96 +8,97 @@
     ids, invariant, store,
 };
 
-/// Items intended in one commit, unless the chunk is run carefully.
-const INTENT_GROUP: usize = 32;
-/// Bytes of results that are committed without waiting for the rest.
+/// Maximum number of intents in one commit, unless the items of the chunk run one at a time.
+const MAX_INTENTS_PER_COMMIT: usize = 32;
+/// Size of uncommitted results, in bytes, from which they are committed at run_once.
 const FULL_SEGMENT_BYTES: usize = 512 << 10;
-/// Largest line of a result; larger answers become errors.
+/// Maximum size of a result line in bytes; a larger response is replaced by an error.
 pub const MAX_RESULT_BYTES: usize = 400 << 10;
 
-/// What the bundle in force says of an item.
+/// Rules of the active bundle for an item.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ItemTerms {
-    /// Whether it may run more than once.
+    /// Whether it may run more than run_once.
     pub may_repeat: bool,
-    /// Whether its model or service exists.
+    /// Whether the bundle has its model or service.
     pub is_served: bool,
 }
 
-/// An item that waits, and what an earlier attempt left of it.
+/// A waiting item, with the state from its earlier attempts.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct PendingItem {
-    /// Index in the chunk.
+    /// Index of the item in the chunk.
     pub index: u32,
-    /// Text that an earlier stream gave.
+    /// Text received from earlier streams; the next one continues it.
     pub text: String,
-    /// Attempts that failed.
+    /// Number of failed attempts.
     pub attempts: u32,
 }
 
 struct ItemLine {
     index: u32,
     line: Vec<u8>,
-    answered: bool,
+    has_response: bool,
 }
 
-/// What is to be written for a chunk.
+/// A commit that is ready to be written.
 pub struct PlannedCommit {
-    /// Revision that the chunk's state must still have.
+    /// Revision that the stored state must have when the commit is written.
     pub revision: store::ObjectRevision,
-    /// The commit; its segment is named here if there are results.
+    /// The commit; it references a segment if there are results.
     pub commit: chunk::ChunkCommit,
-    /// The state after it.
+    /// State of the chunk after the commit.
     pub next: chunk::ChunkState,
-    /// The segment's lines.
+    /// Contents of the segment.
     pub lines: bytes::Bytes,
 }
 
-/// A claim that was written, and the items that it is for.
+/// A chunk whose claim is stored, with its items.
 pub struct ClaimedChunk {
-    /// The job.
+    /// Job of the chunk.
     pub job: sync::Arc<job::JobManifest>,
-    /// The chunk.
+    /// Index of the chunk in the job.
     pub index: ids::ChunkIndex,
-    /// The claim.
+    /// Claim under which the chunk is held.
     pub claim: chunk::ClaimId,
-    /// The state that is stored.
+    /// Stored state of the chunk.
     pub state: chunk::ChunkState,
-    /// The revision that it is stored at.
+    /// Revision of the stored state.
     pub revision: store::ObjectRevision,
-    /// The items, in order.
+    /// Items of the chunk, in order.
     pub items: Vec<batch_item::BatchItem>,
 }
 
 /// A chunk that this dispatcher holds.
 ///
-/// Invariants: an item is in at most one of `pending`, running, `fresh` and
-/// `state.settled`; `state` is what is stored at `revision`.
+/// Invariants: an item is in at most one of `pending`, running, `uncommitted` and
+/// `state.settled`; `state` is the state stored at `revision`.
 pub struct ChunkWork {
-    /// The job.
+    /// Job of the chunk.
     pub job: sync::Arc<job::JobManifest>,
-    /// The chunk.
+    /// Index of the chunk in the job.
     pub index: ids::ChunkIndex,
     claim: chunk::ClaimId,
     state: chunk::ChunkState,
     revision: store::ObjectRevision,
     items: Vec<rc::Rc<batch_item::BatchItem>>,
-    once: Vec<bool>,
+    run_once: Vec<bool>,
     pending: collections::VecDeque<PendingItem>,
     running: collections::BTreeSet<u32>,
-    fresh: Vec<ItemLine>,
-    fresh_bytes: usize,
+    uncommitted: Vec<ItemLine>,
+    uncommitted_bytes: usize,
     committing: bool,
-    wants_intent: bool,
-    wants_release: bool,
+    intent_requested: bool,
+    release_requested: bool,
     segments_made: u32,
     committed_at: clock::MonotonicTime,
 }
 
 impl ChunkWork {
-    /// A chunk that was just claimed.
+    /// Creates the state of a chunk that was just claimed.
     ///
-    /// Items that nobody serves get their results at once, the others run.
+    /// Items that an earlier holder may have run and items whose model or service is not
+    /// served get an error at run_once; the others wait to run.
     pub fn new(
         claimed: ClaimedChunk,
         terms_of: impl Fn(&batch_item::BatchItem) -> ItemTerms,
@@ -111,9 +112,12 @@
             revision,
             items,
         } = claimed;
-        let careful = state.runs_single_items();
+        let one_at_a_time = state.runs_single_items();
         let terms: Vec<_> = items.iter().map(terms_of).collect();
-        let once = terms.iter().map(|t| careful || !t.may_repeat).collect();
+        let run_once = terms
+            .iter()
+            .map(|t| one_at_a_time || !t.may_repeat)
+            .collect();
         let unknown = state.unknown_items();
         let open = state.open_items().minus(&unknown);
         let is_served = |index: &u32| terms[*index as usize].is_served;
@@ -133,14 +137,14 @@
             state,
             revision,
             items: items.into_iter().map(rc::Rc::new).collect(),
-            once,
+            run_once,
             pending,
             running: collections::BTreeSet::new(),
-            fresh: Vec::new(),
-            fresh_bytes: 0,
+            uncommitted: Vec::new(),
+            uncommitted_bytes: 0,
             committing: false,
-            wants_intent: false,
-            wants_release: false,
+            intent_requested: false,
+            release_requested: false,
             segments_made: 0,
             committed_at: now,
         };
@@ -156,24 +160,26 @@
         work
     }
 
-    /// The item at an index.
+    /// Returns the item at an index.
     pub fn item(&self, index: u32) -> rc::Rc<batch_item::BatchItem> {
         self.items[index as usize].clone()
     }
 
-    /// Items that wait.
+    /// Returns the number of waiting items.
     pub fn waiting(&self) -> usize {
         self.pending.len()
     }
 
-    /// Whether an item may run more than once.
+    /// Returns whether an item may run more than run_once.
     pub fn may_repeat(&self, index: u32) -> bool {
-        !self.once[index as usize]
+        !self.run_once[index as usize]
     }
 
-    /// Takes the next item for a service; asks for an intent if that is what is missing.
+    /// Takes the next item for a service that is ready to run.
+    ///
+    /// If an item for the service lacks only a stored intent, the next commit stores one.
     pub fn take_next(&mut self, service: &ids::ServiceName) -> Option<PendingItem> {
-        if self.wants_release {
+        if self.release_requested {
             return None;
         }
         let mut ready = None;
@@ -183,8 +189,8 @@
                 continue;
             }
             let intended = self.state.intended.contains(pending.index);
-            if self.once[pending.index as usize] && !intended {
-                self.wants_intent = true;
+            if self.run_once[pending.index as usize] && !intended {
+                self.intent_requested = true;
                 continue;
             }
             ready = Some(at);
@@ -192,7 +198,7 @@
         }
         let pending = self.pending.remove(ready?)?;
         if self.state.runs_single_items() && !self.running.is_empty() {
-            // One at a time: a suspect must not take others with it.
+            // If this item crashes the endpoint, no other item of the chunk may fail with it.
             self.pending.push_front(pending);
             return None;
         }
@@ -203,19 +209,19 @@
         Some(pending)
     }
 
-    /// Puts back an item whose stream was taken back or that did not run.
+    /// Puts an item that was preempted or was not started at the front of the queue.
     pub fn put_back(&mut self, pending: PendingItem) {
         self.running.remove(&pending.index);
         self.pending.push_front(pending);
     }
 
-    /// Puts an item that failed behind the others.
+    /// Puts an item at the end of the queue, so that other items run before its next attempt.
     pub fn put_last(&mut self, pending: PendingItem) {
         self.running.remove(&pending.index);
         self.pending.push_back(pending);
     }
 
-    /// Notes an item's result.
+    /// Records an item's result; one that exceeds `MAX_RESULT_BYTES` becomes an error.
     pub fn settle(&mut self, index: u32, result: &batch_item::ItemResult) {
         self.running.remove(&index);
         let line = result.line();
@@ -223,36 +229,36 @@
             let code = batch_item::ItemErrorCode::AnswerTooLarge;
             return self.settle_failed(index, code, "the answer is too large to be stored");
         }
-        self.fresh_bytes += line.len();
-        self.fresh.push(ItemLine {
+        self.uncommitted_bytes += line.len();
+        self.uncommitted.push(ItemLine {
             index,
             line,
-            answered: result.error.is_none(),
+            has_response: result.error.is_none(),
         });
     }
 
-    /// Notes that an item has no answer.
+    /// Records an error as the result of an item.
     pub fn settle_failed(&mut self, index: u32, code: batch_item::ItemErrorCode, reason: &str) {
         let custom_id = self.items[index as usize].custom_id.clone();
         let result = batch_item::ItemResult::failed(&custom_id, code, reason);
         self.settle(index, &result);
     }
 
-    /// Begins to give the chunk up: nothing more starts.
+    /// Starts to release the chunk: no more items start, and a commit releases it run_once none run.
     pub fn release(&mut self) {
-        self.wants_release = true;
+        self.release_requested = true;
     }
 
-    /// Whether items run now.
+    /// Returns whether any items are running.
     pub fn is_running(&self) -> bool {
         !self.running.is_empty()
     }
 
     fn is_complete(&self) -> bool {
-        self.state.settled.len() as usize + self.fresh.len() == self.state.items as usize
+        self.state.settled.len() as usize + self.uncommitted.len() == self.state.items as usize
     }
 
-    /// What to write now, if anything.
+    /// Returns the commit to write now, if one is due and none is being written.
     pub fn plan_commit(
         &mut self,
         now: clock::MonotonicTime,
@@ -261,46 +267,47 @@
         if self.committing {
             return None;
         }
-        let release = self.wants_release && self.running.is_empty();
-        let full = self.fresh_bytes >= FULL_SEGMENT_BYTES;
-        let old = !self.fresh.is_empty() && now.since(self.committed_at) >= commit_after;
+        let release = self.release_requested && self.running.is_empty();
+        let full = self.uncommitted_bytes >= FULL_SEGMENT_BYTES;
+        let overdue = !self.uncommitted.is_empty() && now.since(self.committed_at) >= commit_after;
         let intend = self.next_intents();
-        if !(release || full || old || self.is_complete() || !intend.is_empty()) {
+        if !(release || full || overdue || self.is_complete() || !intend.is_empty()) {
             return None;
         }
         Some(self.make_commit(intend, release))
     }
 
-    /// The next items to intend, if items wait for nothing else.
+    /// Returns the next items whose intents are to be stored, if an intent was requested and no
+    /// items are running.
     fn next_intents(&self) -> index_ranges::IndexRanges {
-        let waits = self.wants_intent && !self.wants_release && self.running.is_empty();
+        let waits = self.intent_requested && !self.release_requested && self.running.is_empty();
         if !waits {
             return index_ranges::IndexRanges::default();
         }
         let group = if self.state.runs_single_items() {
             1
         } else {
-            INTENT_GROUP
+            MAX_INTENTS_PER_COMMIT
         };
         self.pending
             .iter()
             .map(|p| p.index)
-            .filter(|i| self.once[*i as usize] && !self.state.intended.contains(*i))
+            .filter(|i| self.run_once[*i as usize] && !self.state.intended.contains(*i))
             .take(group)
             .collect()
     }
 
     fn make_commit(&mut self, intend: index_ranges::IndexRanges, release: bool) -> PlannedCommit {
-        self.fresh.sort_by_key(|l| !l.answered);
-        let settled: index_ranges::IndexRanges = self.fresh.iter().map(|l| l.index).collect();
-        let completed = self.fresh.iter().filter(|l| l.answered).count() as u32;
-        let failed = self.fresh.len() as u32 - completed;
+        self.uncommitted.sort_by_key(|l| !l.has_response);
+        let settled: index_ranges::IndexRanges = self.uncommitted.iter().map(|l| l.index).collect();
+        let completed = self.uncommitted.iter().filter(|l| l.has_response).count() as u32;
+        let failed = self.uncommitted.len() as u32 - completed;
         let lines: Vec<u8> = self
-            .fresh
+            .uncommitted
             .iter()
             .flat_map(|l| l.line.iter().copied())
             .collect();
-        let segment = (!self.fresh.is_empty()).then(|| {
+        let segment = (!self.uncommitted.is_empty()).then(|| {
             self.segments_made += 1;
             chunk::SegmentRef {
                 name: format!("{}-{}-{}", self.state.epoch, self.segments_made, self.claim),
@@ -308,7 +315,7 @@
                 failed,
             }
         });
-        // Nothing runs at a release, so what was intended and has no result cannot have run.
+        // No items run at a release, so intended items without a result cannot have run.
         let withdraw = match release {
             true => self
                 .state
@@ -325,8 +332,8 @@
             release,
         };
         let next = self.state.committed(&self.claim, &commit);
-        // The state in hand is always held under this claim.
-        let next = next.expect("a chunk in hand is held");
+        // `state` is always held under this claim until it is released.
+        let next = next.expect("the chunk is held under this claim");
         self.committing = true;
         PlannedCommit {
             revision: self.revision,
@@ -336,9 +343,9 @@
         }
     }
 
-    /// Notes that a planned commit was written.
+    /// Records that a planned commit was written.
     ///
-    /// Gives whether the chunk is still in hand.
+    /// Returns whether the chunk is still held.
     pub fn record_committed(
         &mut self,
         planned: &PlannedCommit,
@@ -349,20 +356,20 @@
         self.committed_at = now;
         self.revision = revision;
         self.state = planned.next.clone();
-        self.wants_intent = false;
-        self.fresh
+        self.intent_requested = false;
+        self.uncommitted
             .retain(|l| !planned.commit.settled.contains(l.index));
-        self.fresh_bytes = self.fresh.iter().map(|l| l.line.len()).sum();
+        self.uncommitted_bytes = self.uncommitted.iter().map(|l| l.line.len()).sum();
         self.state.holder.is_some()
     }
 
-    /// Notes that a planned commit was given up; it is planned anew on `revision`.
+    /// Records that a planned commit was abandoned; the next one is planned on `revision`.
     pub fn record_uncommitted(&mut self, revision: store::ObjectRevision) {
         self.committing = false;
         self.revision = revision;
     }
 
-    /// Whether all items have results that are stored.
+    /// Returns whether all items have stored results.
     pub fn is_done(&self) -> bool {
         self.state.is_done()
     }
--- a/src/dispatcher/claims.rs
+++ b/src/dispatcher/claims.rs
@@ -1,4 +1,4 @@
-//! Claims of chunks.
+//! Claims of chunks, and takeover of chunks whose holder was lost.
 
 use std::{sync, time};
 
@@ -9,28 +9,29 @@
     fleet, ids, job_store, protection, settle, store,
 };
 
-/// Longest wait for a claim to be written.
+/// Timeout of a claim write.
 const CLAIM_TIMEOUT: time::Duration = time::Duration::from_secs(5);
 
-/// How a claim ended.
+/// Outcome of a claim.
 pub enum ClaimOutcome {
-    /// The chunk is in hand.
+    /// This dispatcher holds the chunk.
     Claimed(Box<chunk_work::ChunkWork>),
-    /// All its items have results.
+    /// All items of the chunk have results.
     Done,
-    /// Another live instance holds it.
+    /// Another live instance holds the chunk.
     Held(ids::InstanceId),
-    /// The object service gave no answer; nothing is known.
+    /// The object service failed, a stored object is corrupt, or another write changed the state
+    /// first; the status of the chunk is unknown.
     Failed(store::StoreError),
 }
 
-/// Claims a chunk of a job, if nobody alive holds it.
+/// Claims a chunk of a job, unless another live instance holds it.
 pub async fn claim(
     context: &context::DispatcherContext,
     job: sync::Arc<job::JobManifest>,
     index: ids::ChunkIndex,
 ) -> ClaimOutcome {
-    // Read first: a claim must not wait in hand for its items.
+    // The items are read first, so that a chunk is not held while they are being read.
     let items = match read_items(context, &job, index).await {
         Ok(items) => items,
         Err(e) => return ClaimOutcome::Failed(e),
@@ -83,7 +84,8 @@
     }
 }
 
-/// Whether an item may run more than once: by its own word, else by its service's.
+/// Returns whether an item may run more than once: as the item states, otherwise true for a
+/// generation and as its service states for other items.
 fn may_repeat(item: &batch_item::BatchItem, bundle: &bundle::IndexedBundle) -> bool {
     if protection::is_disabled("intent") {
         return true;
@@ -96,7 +98,7 @@
     item.is_generation() || spec.is_some_and(|s| s.repeatable)
 }
 
-/// Claims a chunk that has a state already, if its holder is gone.
+/// Claims a chunk that already has a stored state, unless another live instance holds it.
 async fn take_over(
     context: &context::DispatcherContext,
     key: &str,
@@ -120,9 +122,9 @@
     }
 }
 
-/// The holder of a chunk, if it is another instance that is alive.
+/// Returns the holder of a chunk if it is another live instance.
 ///
-/// A claim of this instance that is not in hand is one of an earlier process.
+/// A stored claim of this instance that this process does not hold is from an earlier process.
 pub fn live_holder(
     state: &chunk::ChunkState,
     own: &ids::InstanceId,
--- a/src/dispatcher/commits.rs
+++ b/src/dispatcher/commits.rs
@@ -1,4 +1,4 @@
-//! Commits of results: the segment first, then the chunk's state.
+//! Commits of results: the segment is written first, then the chunk's state.
 
 use std::time;
 
@@ -8,17 +8,18 @@
     ids, settle, store,
 };
 
-/// Longest wait of one try; work in hand outlasts an outage by trying again.
+/// Timeout of each write of a commit; the caller retries for as long as an outage lasts.
 const COMMIT_TIMEOUT: time::Duration = time::Duration::from_secs(10);
 
-/// How a commit ended.
+/// Outcome of a commit.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CommitOutcome {
-    /// It is stored.
+    /// The commit is stored at this revision.
     Done(store::ObjectRevision),
-    /// The chunk is held under another claim; its results are not ours to write.
+    /// The stored state has changed: the chunk is no longer held under this claim, and the results
+    /// are discarded.
     Lost,
-    /// The object service gave no answer; to be tried again.
+    /// The object service failed; the commit is to be retried.
     Failed(store::StoreError),
 }
 
@@ -32,7 +33,7 @@
     let store = context.store.as_ref();
     let class = call_budget::CallClass::Commit;
     if let Some(segment) = &planned.commit.segment {
-        // The name holds the claim, so that no other holder writes the same.
+        // The name contains the claim, so no other holder writes a segment of the same name.
         let key = chunk::segment_key(&job.id, index, &segment.name);
         let lines = planned.lines.clone();
         let always = store::WriteCondition::Always;
--- a/src/dispatcher/item_run.rs
+++ b/src/dispatcher/item_run.rs
@@ -4,7 +4,7 @@
 
 use futures::StreamExt as _;
 
-use super::{chunk_work, context, ledger_board};
+use super::{chunk_work, context, ledger_table};
 use crate::{
     batch_item,
     decisions::relay,
@@ -13,28 +13,28 @@
     wire,
 };
 
-/// Longest time of one attempt of an item.
+/// Timeout of one attempt of an item.
 const ATTEMPT_TIMEOUT: time::Duration = time::Duration::from_secs(600);
 
-/// How an attempt of an item ended.
+/// Outcome of an attempt of an item.
 pub enum ItemEnd {
-    /// It has a result.
+    /// The item has a result.
     Settled(batch_item::ItemResult),
-    /// Its stream was taken back; the text so far is kept.
+    /// The stream was preempted; holds the text received so far.
     Preempted(String),
-    /// It did not run.
+    /// The item did not run.
     NotRun,
-    /// It failed or may have run; the text so far is kept.
+    /// The attempt failed, or the item may have run; holds the reason and the text received so far.
     Failed(String, String),
 }
 
-/// Runs an item at the endpoint of a begun stream; the stream is ended in the ledger.
+/// Runs an item at the endpoint of a started stream, then ends the stream in the ledger.
 pub async fn run(
     context: &sync::Arc<context::DispatcherContext>,
     client: &awc::Client,
     item: &batch_item::BatchItem,
     pending: &chunk_work::PendingItem,
-    stream: ledger_board::BegunStream,
+    stream: ledger_table::StartedStream,
 ) -> ItemEnd {
     let endpoint = stream.endpoint.id.clone();
     let number = stream.number;
@@ -43,13 +43,13 @@
     } else {
         run_plain(client, item, &stream).await
     };
-    context.board.end(&endpoint, number);
+    context.ledgers.end_stream(&endpoint, number);
     end
 }
 
 fn new_call(
     item: &batch_item::BatchItem,
-    stream: &ledger_board::BegunStream,
+    stream: &ledger_table::StartedStream,
     body: serde_json::Value,
 ) -> endpoint_client::EndpointCall {
     endpoint_client::EndpointCall {
@@ -60,17 +60,17 @@
         body: body.to_string().into(),
         attempt: ids::AttemptId::try_from(ids::unique("att")).expect("unique names are valid"),
         resume_after: None,
-        // Nobody comes back for a batch stream: it is continued from its text.
+        // No client resumes a batch stream: a new stream continues from the received text.
         keep: Some(time::Duration::ZERO),
         timeout: ATTEMPT_TIMEOUT,
     }
 }
 
-/// A plain service's call is never taken back once it is sent.
+/// Calls a plain service. The call is never preempted once it is sent.
 async fn run_plain(
     client: &awc::Client,
     item: &batch_item::BatchItem,
-    stream: &ledger_board::BegunStream,
+    stream: &ledger_table::StartedStream,
 ) -> ItemEnd {
     let call = new_call(item, stream, item.body.clone());
     match endpoint_client::call_whole(client, &call).await {
@@ -108,7 +108,7 @@
     client: &awc::Client,
     item: &batch_item::BatchItem,
     pending: &chunk_work::PendingItem,
-    mut stream: ledger_board::BegunStream,
+    mut stream: ledger_table::StartedStream,
 ) -> ItemEnd {
     let mut body = match pending.text.is_empty() {
         true => item.body.clone(),
@@ -141,7 +141,7 @@
         stream,
     };
     match reader.read(events).await {
-        Ok(text) => ItemEnd::Settled(whole_result(item, &call, &text)),
+        Ok(text) => ItemEnd::Settled(generation_result(item, &call, &text)),
         Err(end) => {
             if matches!(end, ItemEnd::Preempted(_)) {
                 endpoint_client::cancel_stream(client, call.address, &call.attempt).await;
@@ -151,7 +151,7 @@
     }
 }
 
-fn whole_result(
+fn generation_result(
     item: &batch_item::BatchItem,
     call: &endpoint_client::EndpointCall,
     text: &str,
@@ -168,19 +168,22 @@
     batch_item::ItemResult::answered(&item.custom_id, response)
 }
 
-/// Bytes of a prompt that are counted as a token in usage figures.
+/// Bytes of a prompt per token, by which usage figures are estimated.
 const BYTES_PER_TOKEN: usize = 4;
 
-/// Reads the events of one stream.
+/// Reader of the events of one stream.
 struct ItemReader<'a> {
     context: &'a context::DispatcherContext,
     silence: time::Duration,
     text: String,
-    stream: ledger_board::BegunStream,
+    stream: ledger_table::StartedStream,
 }
 
 impl ItemReader<'_> {
-    /// The whole text, or how the attempt ended without it.
+    /// Reads the stream to its end and returns the complete text.
+    ///
+    /// # Errors
+    /// The stream was preempted or failed before its last event.
     async fn read(mut self, mut events: endpoint_client::EventStream) -> Result<String, ItemEnd> {
         let mut cursor: Option<relay::RelayCursor> = None;
         let mut latest: Option<time::Instant> = None;
@@ -214,7 +217,7 @@
             latest = Some(now);
             let endpoint = &self.stream.endpoint.id;
             self.context
-                .board
+                .ledgers
                 .record_token(endpoint, self.stream.number, gap);
             self.text.push_str(&event.text);
             if event.last {
--- a/src/dispatcher/job_close.rs
+++ b/src/dispatcher/job_close.rs
@@ -1,4 +1,4 @@
-//! The end of a job: completed when every chunk is done, cancelled when it was asked for.
+//! End of a job: completed once every chunk is done, or cancelled on request once no chunk is held.
 
 use std::{collections, time};
 
@@ -8,14 +8,16 @@
     ids, job_store, settle, store, wire,
 };
 
-/// Longest wait for a write.
+/// Timeout of the writes that end a job.
 const CLOSE_TIMEOUT: time::Duration = time::Duration::from_secs(10);
 
-/// Ends a job if it can be ended now; gives the states of its chunks.
+/// Reads the states of a job's chunks, ends the job if possible, and returns the states.
+///
+/// `first` is set on the leader of the job's group; only the leader ends a cancelled job.
 ///
 /// # Errors
-/// The object service cannot be reached.
-pub async fn look(
+/// The object service cannot be reached, or a stored state cannot be decoded.
+pub async fn poll(
     context: &context::DispatcherContext,
     manifest: &job::JobManifest,
     first: bool,
@@ -25,32 +27,32 @@
     let cancelling = first && manifest.cancelling_at.is_some();
     if done == manifest.chunk_items.len() {
         end(context, manifest, job::JobEnd::Completed, &chunks).await?;
-    } else if cancelling && seal(context, manifest, &chunks).await? {
+    } else if cancelling && release_lost_chunks(context, manifest, &chunks).await? {
         end(context, manifest, job::JobEnd::Cancelled, &chunks).await?;
     }
     Ok(chunks)
 }
 
-/// Takes the chunks of lost holders away from them; says whether nobody holds any.
-async fn seal(
+/// Releases the chunks of lost holders. Returns whether no chunk had a holder to begin with.
+async fn release_lost_chunks(
     context: &context::DispatcherContext,
     manifest: &job::JobManifest,
     chunks: &collections::BTreeMap<u32, chunk::ChunkState>,
 ) -> store::StoreResult<bool> {
     let snapshot = context.fleet.snapshot();
     let held = chunks.iter().filter(|(_, state)| state.holder.is_some());
-    let mut sealed = true;
+    let mut none_held = true;
     for (index, state) in held {
-        sealed = false;
+        none_held = false;
         if claims::live_holder(state, context.id(), &snapshot).is_some() {
             continue;
         }
-        seal_one(context, manifest, ids::ChunkIndex(*index)).await?;
+        release_lost_chunk(context, manifest, ids::ChunkIndex(*index)).await?;
     }
-    Ok(sealed)
+    Ok(none_held)
 }
 
-async fn seal_one(
+async fn release_lost_chunk(
     context: &context::DispatcherContext,
     manifest: &job::JobManifest,
     index: ids::ChunkIndex,
@@ -66,19 +68,20 @@
         .as_ref()
         .is_some_and(|h| h.instance == *context.id())
     {
-        // In hand here, or of an earlier process: the batch loop gives it up.
+        // The batch thread releases a chunk that this process holds. A claim of an earlier process
+        // is released below.
         if context.holds(&manifest.id, index) {
             return Ok(());
         }
     }
-    let sealed = chunk::ChunkState {
+    let released = chunk::ChunkState {
         holder: None,
         epoch: state.epoch + 1,
         ..state
     };
     let condition = store::WriteCondition::Match(found.revision);
     let deadline = time::Instant::now() + CLOSE_TIMEOUT;
-    let value = store::encode(&sealed);
+    let value = store::encode(&released);
     settle::put(
         context.store.as_ref(),
         class,
@@ -108,7 +111,7 @@
     let key = manifest.ended_key();
     let absent = store::WriteCondition::Absent;
     let deadline = time::Instant::now() + CLOSE_TIMEOUT;
-    // Whoever came first wrote the one record; either way the job has ended.
+    // Only the first write of the record succeeds; in either case the job has ended.
     settle::put(store, class, &key, store::encode(&record), absent, deadline).await?;
     settle::remove(store, class, &manifest.active_key(), deadline).await?;
     log::info!(
--- a/src/dispatcher/ledger_board.rs
+++ b/src/dispatcher/ledger_table.rs
@@ -1,4 +1,4 @@
-//! Ledgers of the endpoints that a dispatcher owns, shared by its link and batch threads.
+//! Table of the ledgers of owned endpoints, shared by the link threads and the batch thread.
 
 use std::{collections, sync, time};
 
@@ -10,7 +10,7 @@
     fleet, ids, link, metrics, platform, protection, settings,
 };
 
-/// Fixes the policy of batch work, for benches; none follows the kind of endpoint.
+/// Admission policy of batch work at engines, set by benchmarks; `None` selects the adaptive policy.
 pub type PolicyOverride = Option<admission::BatchPolicy>;
 
 struct OwnedEndpoint {
@@ -24,47 +24,50 @@
     collections::BTreeMap<ids::InstanceId, ownership::OwnerCandidate>,
 >;
 
-/// What the board was made from; compared by address, as snapshots share what is the same.
+/// Parts of the fleet snapshot from which the table was computed.
+///
+/// They are compared by address, because snapshots share unchanged parts.
 #[derive(Default)]
-struct SeenParts {
+struct TableInputs {
     endpoints: sync::Arc<Vec<platform::EndpointRecord>>,
     dispatchers: sync::Arc<Vec<ownership::OwnerCandidate>>,
     bundle: sync::Arc<bundle::IndexedBundle>,
 }
 
 #[derive(Default)]
-struct BoardState {
-    seen: SeenParts,
+struct TableState {
+    inputs: TableInputs,
     owners: OwnerTable,
-    /// Counts the changes of `owners`.
+    /// Number of changes of `owners`.
     epoch: u64,
     endpoints: collections::HashMap<ids::EndpointId, OwnedEndpoint>,
-    cancels: collections::HashMap<(ids::EndpointId, admission::StreamNumber), oneshot::Sender<()>>,
+    cancel_senders:
+        collections::HashMap<(ids::EndpointId, admission::StreamNumber), oneshot::Sender<()>>,
 }
 
-/// A batch stream that was begun, and the word to cancel it.
-pub struct BegunStream {
-    /// The endpoint.
+/// A batch stream that was started in the ledger, with its cancellation signal.
+pub struct StartedStream {
+    /// Endpoint of the stream.
     pub endpoint: platform::EndpointRecord,
-    /// Its number in the ledger.
+    /// Number of the stream in the ledger.
     pub number: admission::StreamNumber,
-    /// Comes when the stream is to be cancelled at once.
+    /// Signal to cancel the stream at once.
     pub cancelled: oneshot::Receiver<()>,
 }
 
-/// The ledgers of a dispatcher.
-pub struct LedgerBoard {
-    state: sync::Mutex<BoardState>,
+/// Ledgers of the endpoints that a dispatcher owns, and owners of all endpoints by service.
+pub struct LedgerTable {
+    state: sync::Mutex<TableState>,
     clock: sync::Arc<dyn clock::MonotonicClock>,
     metrics: sync::Arc<metrics::MetricSet>,
-    /// Wakes the batch thread when room may have come.
+    /// Wakes the batch thread when there may be new free slots.
     pub changed: tokio::sync::Notify,
     fleet: sync::OnceLock<fleet::FleetHandle>,
     policy: PolicyOverride,
 }
 
-impl LedgerBoard {
-    /// A board without endpoints.
+impl LedgerTable {
+    /// Creates a table without endpoints.
     pub fn new(
         clock: sync::Arc<dyn clock::MonotonicClock>,
         metrics: sync::Arc<metrics::MetricSet>,
@@ -80,16 +83,18 @@
         }
     }
 
-    /// Gives the board the view that it answers bundle questions from.
+    /// Sets the handle of the fleet, to which bundle offers and queries are forwarded.
     pub fn set_fleet(&self, fleet: fleet::FleetHandle) {
         let _ = self.fleet.set(fleet);
     }
 
-    fn state(&self) -> sync::MutexGuard<'_, BoardState> {
+    fn state(&self) -> sync::MutexGuard<'_, TableState> {
         self.state.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    /// Takes over what the fleet looks like now: endpoints come, go and leave.
+    /// Applies a snapshot of the fleet: adds, updates and removes endpoints and their owners.
+    ///
+    /// The streams of endpoints that are no longer owned are cancelled.
     pub fn refresh(
         &self,
         snapshot: &fleet::FleetSnapshot,
@@ -97,7 +102,7 @@
         settings: &settings::dispatcher::BatchSettings,
     ) {
         let mut state = self.state();
-        if !state.record_seen(snapshot) {
+        if !state.update_inputs(snapshot) {
             return;
         }
         let mut owned = collections::HashSet::new();
@@ -133,7 +138,7 @@
             .collect();
         for id in lost {
             state.endpoints.remove(&id);
-            cancel_where(&mut state, |endpoint| *endpoint == id);
+            cancel_matching(&mut state, |endpoint| *endpoint == id);
         }
         state.owners = owners;
         state.epoch += 1;
@@ -170,7 +175,7 @@
         }
     }
 
-    /// Endpoints that have room for a batch stream now.
+    /// Returns the owned endpoints with free batch slots, each with their number.
     pub fn endpoints_with_free_slots(&self) -> Vec<(platform::EndpointRecord, u32)> {
         let now = self.clock.now();
         let mut state = self.state();
@@ -183,7 +188,7 @@
             .collect()
     }
 
-    /// Services that this dispatcher owns a live endpoint of.
+    /// Returns the services of the owned endpoints.
     pub fn services(&self) -> collections::BTreeSet<ids::ServiceName> {
         let state = self.state();
         state
@@ -193,12 +198,12 @@
             .collect()
     }
 
-    /// Counts the changes of owners.
+    /// Returns the number of changes of the owner table.
     pub fn epoch(&self) -> u64 {
         self.state().epoch
     }
 
-    /// Dispatchers that own an endpoint of any of the services.
+    /// Returns the dispatchers that own an endpoint of any of the services.
     pub fn owners_of(&self, services: &[ids::ServiceName]) -> Vec<ownership::OwnerCandidate> {
         let state = self.state();
         let tables = services.iter().filter_map(|s| state.owners.get(s));
@@ -209,8 +214,8 @@
         owners.into_values().collect()
     }
 
-    /// Begins a batch stream at an endpoint, if it is still owned and not leaving.
-    pub fn begin(&self, endpoint: &ids::EndpointId) -> Option<BegunStream> {
+    /// Starts a batch stream at an endpoint, if it is still owned and not draining.
+    pub fn begin_stream(&self, endpoint: &ids::EndpointId) -> Option<StartedStream> {
         let now = self.clock.now();
         let mut state = self.state();
         let owned = state.endpoints.get_mut(endpoint)?;
@@ -220,15 +225,17 @@
         let number = owned.ledger.begin_stream(now);
         let record = owned.record.clone();
         let (cancel, cancelled) = oneshot::channel();
-        state.cancels.insert((endpoint.clone(), number), cancel);
-        Some(BegunStream {
+        state
+            .cancel_senders
+            .insert((endpoint.clone(), number), cancel);
+        Some(StartedStream {
             endpoint: record,
             number,
             cancelled,
         })
     }
 
-    /// Notes a token of a batch stream.
+    /// Records a token of a batch stream, with the time since its previous token.
     pub fn record_token(
         &self,
         endpoint: &ids::EndpointId,
@@ -240,10 +247,10 @@
         }
     }
 
-    /// Ends a batch stream.
-    pub fn end(&self, endpoint: &ids::EndpointId, number: admission::StreamNumber) {
+    /// Ends a batch stream and wakes the batch thread.
+    pub fn end_stream(&self, endpoint: &ids::EndpointId, number: admission::StreamNumber) {
         let mut state = self.state();
-        state.cancels.remove(&(endpoint.clone(), number));
+        state.cancel_senders.remove(&(endpoint.clone(), number));
         if let Some(owned) = state.endpoints.get_mut(endpoint) {
             owned.ledger.end_stream(number);
         }
@@ -251,75 +258,75 @@
         self.changed.notify_one();
     }
 
-    /// Cancels one batch stream, if it may be cancelled.
-    pub fn cancel(&self, endpoint: &ids::EndpointId, number: admission::StreamNumber) {
+    /// Cancels one batch stream, if it is running and not cancelled yet.
+    pub fn cancel_stream(&self, endpoint: &ids::EndpointId, number: admission::StreamNumber) {
         let key = (endpoint.clone(), number);
-        if let Some(cancel) = self.state().cancels.remove(&key) {
+        if let Some(cancel) = self.state().cancel_senders.remove(&key) {
             let _ = cancel.send(());
         }
     }
 
-    /// Cancels every batch stream that may be cancelled.
+    /// Cancels all running batch streams.
     pub fn cancel_all(&self) {
-        cancel_where(&mut self.state(), |_| true);
+        cancel_matching(&mut self.state(), |_| true);
     }
 }
 
-impl BoardState {
-    /// Notes what a snapshot holds; false if nothing changed that the board is made from.
-    fn record_seen(&mut self, snapshot: &fleet::FleetSnapshot) -> bool {
-        let seen = &self.seen;
-        let same = sync::Arc::ptr_eq(&seen.endpoints, &snapshot.endpoints)
-            && sync::Arc::ptr_eq(&seen.dispatchers, &snapshot.dispatchers)
-            && sync::Arc::ptr_eq(&seen.bundle, &snapshot.bundle);
-        self.seen = SeenParts {
+impl TableState {
+    /// Stores the parts of a snapshot that the table depends on; returns whether any changed.
+    fn update_inputs(&mut self, snapshot: &fleet::FleetSnapshot) -> bool {
+        let inputs = &self.inputs;
+        let unchanged = sync::Arc::ptr_eq(&inputs.endpoints, &snapshot.endpoints)
+            && sync::Arc::ptr_eq(&inputs.dispatchers, &snapshot.dispatchers)
+            && sync::Arc::ptr_eq(&inputs.bundle, &snapshot.bundle);
+        self.inputs = TableInputs {
             endpoints: snapshot.endpoints.clone(),
             dispatchers: snapshot.dispatchers.clone(),
             bundle: snapshot.bundle.clone(),
         };
-        !same
+        !unchanged
     }
 }
 
-fn cancel_where(state: &mut BoardState, wanted: impl Fn(&ids::EndpointId) -> bool) {
+fn cancel_matching(state: &mut TableState, is_selected: impl Fn(&ids::EndpointId) -> bool) {
     let keys: Vec<_> = state
-        .cancels
+        .cancel_senders
         .keys()
-        .filter(|(id, _)| wanted(id))
+        .filter(|(id, _)| is_selected(id))
         .cloned()
         .collect();
     for key in keys {
-        if let Some(cancel) = state.cancels.remove(&key) {
+        if let Some(cancel) = state.cancel_senders.remove(&key) {
             let _ = cancel.send(());
         }
     }
 }
 
-impl link::LinkHandler for LedgerBoard {
+impl link::LinkHandler for LedgerTable {
     fn permit(&self, request: link::PermitRequest) -> link::PermitResponse {
         let now = self.clock.now();
         let mut state = self.state();
         let Some(owned) = state.endpoints.get_mut(&request.endpoint) else {
             return link::PermitResponse::NotOwner;
         };
-        let leaving = owned.record.state == platform::EndpointState::Leaving;
-        if leaving && !protection::is_disabled("leaving") {
+        let draining = owned.record.state == platform::EndpointState::Leaving;
+        if draining && !protection::is_disabled("leaving") {
             return link::PermitResponse::Leaving;
         }
-        let Some(grant) = owned.ledger.request_permit(request.number, now) else {
+        let Some(permit) = owned.ledger.request_permit(request.number, now) else {
             return link::PermitResponse::Full;
         };
-        for number in &grant.preempt {
+        for number in &permit.preempt {
             let key = (request.endpoint.clone(), *number);
-            if let Some(cancel) = state.cancels.remove(&key) {
+            if let Some(cancel) = state.cancel_senders.remove(&key) {
                 let _ = cancel.send(());
                 self.metrics.preempted.inc();
             }
         }
         link::PermitResponse::Granted {
-            online: grant.online,
-            batch: grant.batch,
-            waiting: grant.waiting,
+            online: permit.online,
+            batch: permit.batch,
+            waiting: permit.waiting,
         }
     }
 
--- a/src/dispatcher/status_page.rs
+++ b/src/dispatcher/status_page.rs
@@ -1,4 +1,4 @@
-//! `/metrics`, `/healthz` and `/readyz` of a dispatcher.
+//! Status page of a dispatcher: `/metrics`, `/healthz` and `/readyz`.
 
 use std::{io, net, rc, sync};
 
@@ -30,7 +30,7 @@
     }
 }
 
-/// Starts the page.
+/// Starts the server of the status page.
 ///
 /// # Errors
 /// The address cannot be bound.
