--- a/src/dispatcher/batch_runner.rs
+++ b/src/dispatcher/batch_runner.rs
@@ -83,7 +83,8 @@
         }
     }
 
-    /// Runs until a stop was requested and all chunks are released, or until `stop_requests` is closed.
+    /// Runs until a stop was requested and all chunks are released, or until `stop_requests` is
+    /// closed.
     pub async fn run(self, mut stop_requests: mpsc::Receiver<StopRequest>) {
         let mut changes = self.context.fleet.changes();
         loop {
--- a/src/dispatcher/chunk_work.rs
+++ b/src/dispatcher/chunk_work.rs
@@ -10,7 +10,7 @@
 
 /// Maximum number of intents in one commit, unless the items of the chunk run one at a time.
 const MAX_INTENTS_PER_COMMIT: usize = 32;
-/// Size of uncommitted results, in bytes, from which they are committed at run_once.
+/// Size of uncommitted results, in bytes, from which they are committed at once.
 const FULL_SEGMENT_BYTES: usize = 512 << 10;
 /// Maximum size of a result line in bytes; a larger response is replaced by an error.
 pub const MAX_RESULT_BYTES: usize = 400 << 10;
@@ -18,7 +18,7 @@
 /// Rules of the active bundle for an item.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ItemTerms {
-    /// Whether it may run more than run_once.
+    /// Whether it may run more than once.
     pub may_repeat: bool,
     /// Whether the bundle has its model or service.
     pub is_served: bool,
@@ -98,7 +98,7 @@
     /// Creates the state of a chunk that was just claimed.
     ///
     /// Items that an earlier holder may have run and items whose model or service is not
-    /// served get an error at run_once; the others wait to run.
+    /// served get an error at once; the others wait to run.
     pub fn new(
         claimed: ClaimedChunk,
         terms_of: impl Fn(&batch_item::BatchItem) -> ItemTerms,
@@ -170,7 +170,7 @@
         self.pending.len()
     }
 
-    /// Returns whether an item may run more than run_once.
+    /// Returns whether an item may run more than once.
     pub fn may_repeat(&self, index: u32) -> bool {
         !self.run_once[index as usize]
     }
@@ -244,7 +244,8 @@
         self.settle(index, &result);
     }
 
-    /// Starts to release the chunk: no more items start, and a commit releases it run_once none run.
+    /// Starts to release the chunk: no more items start, and a commit releases it
+    /// once none are running.
     pub fn release(&mut self) {
         self.release_requested = true;
     }
--- a/src/dispatcher/ledger_table.rs
+++ b/src/dispatcher/ledger_table.rs
@@ -10,7 +10,9 @@
     fleet, ids, link, metrics, platform, protection, settings,
 };
 
-/// Admission policy of batch work at engines, set by benchmarks; `None` selects the adaptive policy.
+/// Admission policy of batch work at engines, set by benchmarks.
+///
+/// `None` selects the default policy of each kind of endpoint.
 pub type PolicyOverride = Option<admission::BatchPolicy>;
 
 struct OwnedEndpoint {
@@ -38,7 +40,7 @@
 struct TableState {
     inputs: TableInputs,
     owners: OwnerTable,
-    /// Number of changes of `owners`.
+    /// Number of times that `owners` was computed.
     epoch: u64,
     endpoints: collections::HashMap<ids::EndpointId, OwnedEndpoint>,
     cancel_senders:
@@ -198,7 +200,7 @@
             .collect()
     }
 
-    /// Returns the number of changes of the owner table.
+    /// Returns the number of times that the owner table was computed.
     pub fn epoch(&self) -> u64 {
         self.state().epoch
     }
--- a/tests/batch_failures.rs
+++ b/tests/batch_failures.rs
@@ -1,4 +1,4 @@
-//! Batch jobs under failure: every accepted item has exactly one result.
+//! Batch jobs under failures: every accepted item has exactly one result.
 
 mod support;
 
@@ -7,30 +7,33 @@
 use actix_http::Method;
 use rstest::rstest;
 
-/// Tokens of each letter.
+/// Number of tokens of each generated letter.
 const TOKENS: u32 = 16;
 
-fn submitted(fleet: &support::ProcessFleet, count: usize, key: &str) -> (String, String) {
+fn submit_job(fleet: &support::ProcessFleet, count: usize, key: &str) -> (String, String) {
     let caller = fleet.caller(0);
     let file = caller.upload(&support::letters(count, TOKENS));
     let job = caller
         .submit(&file, "/v1/chat/completions", key)
-        .expect("it is accepted");
+        .expect("the job is accepted");
     assert_eq!(job.status, 200, "{}", job.json());
     (
-        job.json()["id"].as_str().expect("it has a name").to_owned(),
+        job.json()["id"]
+            .as_str()
+            .expect("the job has an id")
+            .to_owned(),
         file,
     )
 }
 
-fn wait_progress(fleet: &support::ProcessFleet, id: &str, least: u64) {
+fn wait_for_results(fleet: &support::ProcessFleet, id: &str, min_completed: u64) {
     support::wait_for("some items have results", || {
         let job = fleet.caller(0).get(&format!("/v1/batches/{id}")).ok()?;
-        (job["request_counts"]["completed"].as_u64()? >= least).then_some(())
+        (job["request_counts"]["completed"].as_u64()? >= min_completed).then_some(())
     });
 }
 
-fn check_whole(fleet: &support::ProcessFleet, id: &str, count: usize) {
+fn check_complete(fleet: &support::ProcessFleet, id: &str, count: usize) {
     let caller = fleet.caller(0);
     let job = caller.wait_job(id);
     assert_eq!(job["status"], "completed");
@@ -44,13 +47,13 @@
 #[case::paused_past_its_lease(libc::SIGSTOP)]
 fn a_lost_dispatcher_loses_and_doubles_nothing(#[case] signal: libc::c_int) {
     let fleet = support::ProcessFleet::start(&support::FleetSize::default());
-    let (id, _) = submitted(&fleet, 2000, "lost");
-    wait_progress(&fleet, &id, 1);
+    let (id, _) = submit_job(&fleet, 2000, "lost");
+    wait_for_results(&fleet, &id, 1);
     fleet.dispatchers[0].signal(signal);
-    // Long past the lease of one second.
+    // Longer than the lease timeout of one second.
     thread::sleep(time::Duration::from_millis(2500));
     fleet.dispatchers[0].signal(libc::SIGCONT);
-    check_whole(&fleet, &id, 2000);
+    check_complete(&fleet, &id, 2000);
 }
 
 #[rstest]
@@ -69,10 +72,12 @@
         let job = caller.submit(&file, "/v1/chat/completions", "bad").ok()?;
         job.json()["id"].as_str().map(str::to_owned)
     });
-    check_whole(&fleet, &id, 600);
+    check_complete(&fleet, &id, 600);
     let objects = support::TestClient::new(fleet.objects.address("listen"), "");
-    let stats = objects.get("/stats").expect("calls are counted");
-    // The limits of this case were reached, not only set.
+    let stats = objects
+        .get("/stats")
+        .expect("the object service returns its statistics");
+    // Without rejected calls, the rate-limited case would not test the limits.
     let limited = stats["limited"].as_u64().unwrap_or(0);
     assert_eq!(limited > 0, faults["writes_per_second"].is_u64());
 }
@@ -80,7 +85,7 @@
 #[test]
 fn an_outage_delays_a_job_and_leaves_online_alone() {
     let fleet = support::ProcessFleet::start(&support::FleetSize::default());
-    let (id, file) = submitted(&fleet, 1200, "outage");
+    let (id, file) = submit_job(&fleet, 1200, "outage");
     fleet.object_faults(serde_json::json!({"out": true}));
     let until = time::Instant::now() + time::Duration::from_secs(4);
     let mut served = 0;
@@ -89,95 +94,103 @@
         let (text, whole) = fleet
             .caller(served % 2)
             .stream(&content, 8)
-            .expect("it is streamed");
+            .expect("the response is streamed");
         assert_eq!(
             (text, whole),
             (jayhollow::smoke::expected_response(&content, 8), true)
         );
         served += 1;
     }
-    // Nothing is accepted that could not be kept.
+    // A job that cannot be stored must be rejected.
     let refused = fleet
         .caller(0)
         .submit(&file, "/v1/chat/completions", "other");
-    let refused = refused.expect("it is answered");
+    let refused = refused.expect("the gateway responds");
     assert_eq!(
         (refused.status, refused.json()["error"]["ran"].as_str()),
         (503, Some("no"))
     );
     assert!(refused.retry_after.is_some());
     fleet.object_faults(serde_json::json!({}));
-    check_whole(&fleet, &id, 1200);
+    check_complete(&fleet, &id, 1200);
 }
 
 #[test]
 fn a_resent_submission_is_the_same_job() {
     let fleet = support::ProcessFleet::start(&support::FleetSize::default());
-    let (id, file) = submitted(&fleet, 50, "key");
+    let (id, file) = submit_job(&fleet, 50, "key");
     let again = fleet.caller(1).submit(&file, "/v1/chat/completions", "key");
-    assert_eq!(again.expect("it is answered").json()["id"], id);
-    // The same items in another upload are the same content.
+    assert_eq!(again.expect("the gateway responds").json()["id"], id);
+    // An upload with the same items has the same content, so it is no conflict.
     let copy = fleet.caller(1).upload(&support::letters(50, TOKENS));
     let again = fleet.caller(0).submit(&copy, "/v1/chat/completions", "key");
-    assert_eq!(again.expect("it is answered").json()["id"], id);
+    assert_eq!(again.expect("the gateway responds").json()["id"], id);
     let other = fleet.caller(0).upload(&support::letters(51, TOKENS));
     let conflict = fleet
         .caller(0)
         .submit(&other, "/v1/chat/completions", "key");
-    let conflict = conflict.expect("it is answered");
+    let conflict = conflict.expect("the gateway responds");
     assert_eq!(conflict.status, 409);
     assert_eq!(conflict.json()["error"]["code"], "idempotency_conflict");
-    check_whole(&fleet, &id, 50);
+    check_complete(&fleet, &id, 50);
     let ended = fleet.caller(1).submit(&file, "/v1/chat/completions", "key");
-    assert_eq!(ended.expect("it is answered").json()["status"], "completed");
+    assert_eq!(
+        ended.expect("the gateway responds").json()["status"],
+        "completed"
+    );
 }
 
 #[test]
 fn a_cancelled_job_stops() {
     let fleet = support::ProcessFleet::start(&support::FleetSize::default());
     let starts = || -> u64 {
-        let of_engine = |engine: &support::FleetProcess| {
+        let engine_starts = |engine: &support::FleetProcess| {
             let client = support::TestClient::new(engine.address("listen"), "");
-            client.get("/effects").expect("starts are told")["starts"]
+            client
+                .get("/effects")
+                .expect("the engine returns its counts")["starts"]
                 .as_u64()
                 .unwrap_or(0)
         };
-        fleet.engines.iter().map(of_engine).sum()
+        fleet.engines.iter().map(engine_starts).sum()
     };
     let idle = starts();
     let caller = fleet.caller(0);
-    // Each item takes seconds: none is done when the cancellation is seen.
+    // Each item takes seconds, so none is done when the cancellation takes effect.
     let file = caller.upload(&support::letters(400, 3000));
     let job = caller.submit(&file, "/v1/chat/completions", "cancel");
-    let id = job.expect("it is accepted").json()["id"]
+    let id = job.expect("the job is accepted").json()["id"]
         .as_str()
         .map(str::to_owned);
-    let id = id.expect("it has a name");
-    support::wait_for("items run", || (starts() > idle).then_some(()));
+    let id = id.expect("the job has an id");
+    support::wait_for("an item has started", || (starts() > idle).then_some(()));
     let path = format!("/v1/batches/{id}/cancel");
     let cancelling = fleet.caller(1).post(&path, Vec::new());
-    assert_eq!(cancelling.expect("it is cancelled")["status"], "cancelling");
+    assert_eq!(
+        cancelling.expect("the cancellation is accepted")["status"],
+        "cancelling"
+    );
     let job = caller.wait_job(&id);
     assert_eq!(job["status"], "cancelled");
     assert_eq!(
         job["request_counts"]["completed"], 0,
-        "what ran was stopped"
+        "running items were not stopped"
     );
     let before = starts();
     thread::sleep(time::Duration::from_millis(1000));
-    assert_eq!(starts(), before, "nothing starts after the end");
+    assert_eq!(starts(), before, "an item started after the job ended");
 }
 
 #[test]
 fn results_of_a_cancelled_job_stay_readable() {
     let fleet = support::ProcessFleet::start(&support::FleetSize::default());
-    let (id, _) = submitted(&fleet, 4000, "cancel");
-    wait_progress(&fleet, &id, 1);
+    let (id, _) = submit_job(&fleet, 4000, "cancel");
+    wait_for_results(&fleet, &id, 1);
     let path = format!("/v1/batches/{id}/cancel");
     fleet
         .caller(1)
         .post(&path, Vec::new())
-        .expect("it is cancelled");
+        .expect("the cancellation is accepted");
     let job = fleet.caller(0).wait_job(&id);
     assert_eq!(job["status"], "cancelled");
     let results = fleet.caller(0).results(&job["output_file_id"]);
@@ -192,7 +205,7 @@
     for engine in 0..4 {
         fleet.engine_faults(engine, serde_json::json!({"poison": "letter 13\n"}));
     }
-    let (id, _) = submitted(&fleet, 100, "poison");
+    let (id, _) = submit_job(&fleet, 100, "poison");
     let job = fleet.caller(0).wait_job(&id);
     assert_eq!(job["request_counts"]["completed"], 99);
     let errors = fleet.caller(0).results(&job["error_file_id"]);
@@ -216,11 +229,11 @@
     let file = caller.upload(&items);
     let job = caller
         .submit(&file, "/services/print", "once")
-        .expect("it is accepted")
+        .expect("the job is accepted")
         .json();
-    let id = job["id"].as_str().expect("it has a name").to_owned();
-    // The owner of the plain endpoint is in its failure domain: dispatcher 0.
-    support::wait_for("some items ran", || {
+    let id = job["id"].as_str().expect("the job has an id").to_owned();
+    // Dispatcher 0 owns the plain endpoint, because it is in the same failure domain.
+    support::wait_for("more than 40 items have run", || {
         (fleet.plain_effects().len() > 40).then_some(())
     });
     fleet.dispatchers[0].signal(libc::SIGKILL);
@@ -237,24 +250,27 @@
     assert!(errors
         .values()
         .all(|e| e["error"]["code"] == "outcome_unknown"));
-    // What is told as answered did take effect.
+    // An item with a response must have taken effect.
     assert!(effects.len() >= responses.len());
 }
 
 #[test]
 fn results_outlast_every_instance() {
     let mut fleet = support::ProcessFleet::start(&support::FleetSize::default());
-    let (id, _) = submitted(&fleet, 300, "outlast");
+    let (id, _) = submit_job(&fleet, 300, "outlast");
     for number in 0..2 {
         fleet.dispatchers[number].restart();
         fleet.gateways[number].restart();
     }
     fleet.wait_ready();
-    check_whole(&fleet, &id, 300);
+    check_complete(&fleet, &id, 300);
     let listed = fleet
         .caller(1)
         .send(Method::GET, "/v1/batches?limit=1", &[], Vec::new());
-    assert_eq!(listed.expect("jobs are listed").json()["data"][0]["id"], id);
+    assert_eq!(
+        listed.expect("the list of jobs is returned").json()["data"][0]["id"],
+        id
+    );
 }
 
 #[test]
@@ -270,19 +286,19 @@
     let file = caller.upload(&items);
     let job = caller
         .submit(&file, "/v1/chat/completions", "unknown-model")
-        .expect("it is answered");
+        .expect("the gateway responds");
     assert_eq!(job.status, 200, "{}", job.json());
-    let job = caller.wait_job(job.json()["id"].as_str().expect("it has a name"));
+    let job = caller.wait_job(job.json()["id"].as_str().expect("the job has an id"));
     assert_eq!(job["status"], "completed");
     let errors = caller.results(&job["error_file_id"]);
     assert_eq!(errors.len(), 1);
     assert_eq!(errors["nobody"]["error"]["code"], "not_found");
     let results = caller.results(&job["output_file_id"]);
     support::check_letters(&results, 20, TOKENS);
-    // A file of which nothing can run is refused whole.
+    // A file without any item that can run is rejected.
     let file = caller.upload(&format!("{unknown}\n"));
     let refused = caller
         .submit(&file, "/v1/chat/completions", "nothing-runs")
-        .expect("it is answered");
+        .expect("the gateway responds");
     assert_eq!(refused.status, 404);
 }
