--- a/src/dispatcher/chunk_work.rs
+++ b/src/dispatcher/chunk_work.rs
@@ -244,8 +244,8 @@
         self.settle(index, &result);
     }
 
-    /// Starts to release the chunk: no more items start, and a commit releases it
-    /// once none are running.
+    /// Starts to release the chunk: no more items start, and a commit releases it once
+    /// none are running.
     pub fn release(&mut self) {
         self.release_requested = true;
     }
--- a/src/dispatcher/ledger_table.rs
+++ b/src/dispatcher/ledger_table.rs
@@ -12,7 +12,7 @@
 
 /// Admission policy of batch work at engines, set by benchmarks.
 ///
-/// `None` selects the default policy of each kind of endpoint.
+/// `None` selects the adaptive policy. Plain endpoints use the yielding policy in either case.
 pub type PolicyOverride = Option<admission::BatchPolicy>;
 
 struct OwnedEndpoint {
