--- a/src/batch_item.rs
+++ b/src/batch_item.rs
@@ -1,24 +1,24 @@
-//! Items of batch jobs and their results, as lines of JSON.
+//! Batch job items and their results, encoded as JSON lines.
 
 use crate::{ids, wire};
 
-/// Longest `custom_id`, in bytes.
+/// Maximum length of `custom_id`, in bytes.
 const MAX_CUSTOM_ID_BYTES: usize = 512;
 
-/// One item, a line of an input file.
+/// A batch item: one line of an input file.
 #[derive(Debug, Clone, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BatchItem {
-    /// The caller's name for it.
+    /// Item identifier chosen by the caller.
     pub custom_id: String,
-    /// Method of HTTP.
+    /// HTTP method; only `POST` is accepted.
     #[serde(default = "post")]
     pub method: String,
-    /// Path, like `/v1/chat/completions` or `/services/{service}/{path}`.
+    /// Request path, for example `/v1/chat/completions` or `/services/{service}/{path}`.
     pub url: String,
-    /// Body of the request.
+    /// Request body; must be a JSON object.
     pub body: serde_json::Value,
-    /// Whether it may run more than once.
+    /// Whether the item may run more than once.
     #[serde(default)]
     pub repeatable: Option<bool>,
 }
@@ -28,10 +28,10 @@
 }
 
 impl BatchItem {
-    /// Reads an item from its line.
+    /// Parses and validates an item from one line of an input file.
     ///
     /// # Errors
-    /// What is wrong with it, for a person to read.
+    /// Returns a human-readable description of the first problem found.
     pub fn parse(line: &[u8]) -> Result<Self, String> {
         let item: Self = serde_json::from_slice(line).map_err(|e| e.to_string())?;
         if item.custom_id.is_empty() || item.custom_id.len() > MAX_CUSTOM_ID_BYTES {
@@ -49,15 +49,16 @@
         Ok(item)
     }
 
-    /// Whether a model engine runs it.
+    /// Returns whether the item is run by a model engine.
     pub fn is_generation(&self) -> bool {
         wire::is_generation(&self.url)
     }
 
-    /// The model or plain service that it is for.
+    /// Returns the model or plain service that the item targets.
     ///
     /// # Errors
-    /// The path or the model is not one that is served.
+    /// Returns a description of the problem if the path is not supported, or if the
+    /// model or service name is missing or invalid.
     pub fn service(&self) -> Result<ids::ServiceName, String> {
         if self.is_generation() {
             let model = self.body.get("model").and_then(|m| m.as_str());
@@ -75,7 +76,7 @@
         name.parse().map_err(|e: ids::IdError| e.to_string())
     }
 
-    /// The path at the endpoint.
+    /// Returns the request path at the endpoint, without the `/services/{service}` prefix.
     pub fn endpoint_path(&self) -> String {
         match self.url.strip_prefix("/services/") {
             None => self.url.clone(),
@@ -87,57 +88,57 @@
     }
 }
 
-/// Why an item has no answer; stable codes.
+/// Stable error code of an item without a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ItemErrorCode {
     /// All attempts failed.
     EndpointFailed,
-    /// It may have run; it is not run again.
+    /// The item may have run and is not retried.
     OutcomeUnknown,
-    /// The request itself was refused.
+    /// The request itself was rejected.
     InvalidRequest,
-    /// No such model or plain service.
+    /// The model or plain service does not exist.
     NotFound,
-    /// The answer is too large to be stored.
+    /// The response is too large to store.
     AnswerTooLarge,
 }
 
-/// The result of an item, a line of an output or error file.
+/// Result of an item: one line of an output or error file.
 #[derive(Debug, Clone, serde::Serialize, serde::Deserialize)]
 pub struct ItemResult {
-    /// Name of the result.
+    /// Result identifier.
     pub id: String,
-    /// The caller's name for the item.
+    /// Item identifier chosen by the caller.
     pub custom_id: String,
-    /// The answer, if there is one.
+    /// Response, if the item was answered.
     pub response: Option<ItemResponse>,
-    /// The error, if there is no answer.
+    /// Error, if there is no response.
     pub error: Option<ItemError>,
 }
 
-/// The answer to an item.
+/// Response to an item.
 #[derive(Debug, Clone, serde::Serialize, serde::Deserialize)]
 pub struct ItemResponse {
-    /// Status of HTTP.
+    /// HTTP status code.
     pub status_code: u16,
-    /// Name of the attempt that was answered.
+    /// Identifier of the attempt that produced the response.
     pub request_id: String,
-    /// The answer's body.
+    /// Response body.
     pub body: serde_json::Value,
 }
 
-/// Why an item has no answer.
+/// Error of an item without a response.
 #[derive(Debug, Clone, serde::Serialize, serde::Deserialize)]
 pub struct ItemError {
-    /// Stable code.
+    /// Stable error code.
     pub code: ItemErrorCode,
-    /// For a person to read.
+    /// Human-readable message.
     pub message: String,
 }
 
 impl ItemResult {
-    /// The result of an answered item.
+    /// Creates the result of an item with a response.
     pub fn answered(custom_id: &str, response: ItemResponse) -> Self {
         Self {
             id: format!("res-{}", response.request_id),
@@ -147,7 +148,7 @@
         }
     }
 
-    /// The result of an item without an answer.
+    /// Creates the result of an item without a response.
     pub fn failed(custom_id: &str, code: ItemErrorCode, message: impl Into<String>) -> Self {
         Self {
             id: ids::unique("res"),
@@ -160,9 +161,9 @@
         }
     }
 
-    /// The result as a line with its end.
+    /// Encodes the result as a JSON line, including the newline.
     pub fn line(&self) -> Vec<u8> {
-        // Names, numbers and JSON values can always be written.
+        // Strings, numbers and JSON values always serialize.
         let mut line = serde_json::to_vec(self).expect("a result is JSON");
         line.push(b'\n');
         line
--- a/src/bundle.rs
+++ b/src/bundle.rs
@@ -1,4 +1,4 @@
-//! The operators' bundle: models, services, workspaces, limits; and their checks.
+//! The operators' bundle of models, services, workspaces and limits, and its validation.
 
 use std::{collections, fmt};
 
@@ -6,7 +6,7 @@
 
 use crate::ids;
 
-/// Version number of an accepted bundle; only grows.
+/// Version number of an accepted bundle; increases monotonically.
 #[derive(
     Debug,
     Clone,
@@ -37,50 +37,50 @@
     }
 }
 
-/// What an operator writes and signs off.
+/// Bundle document that an operator writes and approves.
 #[derive(
     Debug, Clone, Default, PartialEq, serde::Serialize, serde::Deserialize, schemars::JsonSchema,
 )]
 #[serde(deny_unknown_fields)]
 pub struct BundleDocument {
-    /// Models that engines serve.
+    /// Models served by engines.
     #[serde(default)]
     pub models: Vec<ModelSpec>,
     /// Plain services.
     #[serde(default)]
     pub services: Vec<ServiceSpec>,
-    /// Workspaces of callers.
+    /// Callers' workspaces.
     #[serde(default)]
     pub workspaces: Vec<WorkspaceSpec>,
-    /// How batch work shares the endpoints.
+    /// Settings for sharing endpoints between batch and online work.
     #[serde(default)]
     pub batch: BatchSpec,
 }
 
-/// A model.
+/// Definition of a model.
 #[derive(Debug, Clone, PartialEq, serde::Serialize, serde::Deserialize, schemars::JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct ModelSpec {
-    /// Name that callers use.
+    /// Model name in requests.
     pub name: ids::ServiceName,
-    /// Version that engines are to have loaded.
+    /// Version that engines must have loaded.
     #[serde(default)]
     pub version: String,
-    /// Adapters that engines are to have loaded.
+    /// Adapters that engines must have loaded.
     #[serde(default)]
     pub adapters: Vec<String>,
 }
 
-/// A plain service.
+/// Definition of a plain service.
 #[derive(Debug, Clone, PartialEq, serde::Serialize, serde::Deserialize, schemars::JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceSpec {
-    /// Name in the path `/services/{name}/`.
+    /// Service name in the path `/services/{name}/`.
     pub name: ids::ServiceName,
-    /// Whether its calls may be repeated unless the caller says otherwise.
+    /// Whether requests may be retried, unless the caller specifies otherwise.
     #[serde(default = "yes")]
     pub repeatable: bool,
-    /// Batch calls at once per endpoint.
+    /// Maximum number of concurrent batch requests per endpoint.
     #[serde(default = "default_service_concurrency")]
     pub batch_concurrency: u32,
 }
@@ -93,18 +93,18 @@
     8
 }
 
-/// A workspace.
+/// Definition of a workspace.
 #[derive(Debug, Clone, PartialEq, serde::Serialize, serde::Deserialize, schemars::JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct WorkspaceSpec {
-    /// Its name.
+    /// Workspace identifier.
     pub id: ids::WorkspaceId,
-    /// SHA-256 of each API key, in hexadecimal.
+    /// SHA-256 hash of each API key, in hexadecimal.
     pub key_hashes: Vec<String>,
-    /// Online requests at once over the whole fleet.
+    /// Maximum number of concurrent online requests across the fleet.
     #[serde(default = "default_concurrency")]
     pub max_concurrency: u32,
-    /// Online requests a second over the whole fleet.
+    /// Maximum rate of online requests across the fleet, per second.
     #[serde(default = "default_rate")]
     pub max_requests_per_second: u32,
 }
@@ -117,15 +117,15 @@
     1000
 }
 
-/// How batch work shares the endpoints.
+/// Settings for sharing endpoints between batch and online work.
 #[derive(Debug, Clone, PartialEq, serde::Serialize, serde::Deserialize, schemars::JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct BatchSpec {
-    /// By how many percent batch work may slow down the steps of online answers.
+    /// Maximum slowdown of online generation steps caused by batch work, in percent.
     ///
-    /// A small number favours online callers, a large one batch throughput.
+    /// Lower values favour online latency, higher values favour batch throughput.
     pub online_slowdown_percent: u32,
-    /// Attempts of an item before its outcome is an error.
+    /// Number of attempts after which an item fails.
     pub max_item_attempts: u32,
 }
 
@@ -138,17 +138,17 @@
     }
 }
 
-/// One thing that is wrong with a document.
+/// Validation error of a bundle document.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct BundleFault {
-    /// Where in the file, as a JSON pointer.
+    /// JSON pointer to the invalid value.
     pub path: String,
-    /// What was found and what is allowed.
+    /// Value found and values allowed.
     pub problem: String,
 }
 
 impl BundleDocument {
-    /// Everything that is wrong with the document.
+    /// Validates the document and returns all errors found.
     pub fn faults(&self) -> Vec<BundleFault> {
         let mut faults = Vec::new();
         self.check_names(&mut faults);
@@ -208,27 +208,27 @@
     }
 }
 
-/// Largest slowdown an operator may ask for, in percent.
+/// Maximum value of `online_slowdown_percent`, in percent.
 pub const MAX_SLOWDOWN_PERCENT: u32 = 1000;
 
-/// SHA-256 of an API key in hexadecimal, as a bundle holds it.
+/// Returns the SHA-256 hash of an API key in hexadecimal, as stored in a bundle.
 pub fn hash_key(key: &str) -> String {
     let digest = sha2::Sha256::digest(key.as_bytes());
     digest.iter().map(|b| format!("{b:02x}")).collect()
 }
 
-/// A bundle as daemons use it, with its look-ups made.
+/// Bundle with an index of its API keys.
 #[derive(Debug, Clone, Default)]
 pub struct IndexedBundle {
-    /// Generation of the document.
+    /// Generation of the bundle.
     pub generation: BundleGeneration,
-    /// The document.
+    /// Bundle document.
     pub document: BundleDocument,
     by_key: collections::HashMap<String, usize>,
 }
 
 impl IndexedBundle {
-    /// Prepares a document for use.
+    /// Builds the key index of a document.
     pub fn new(generation: BundleGeneration, document: BundleDocument) -> Self {
         let by_key = document
             .workspaces
@@ -247,23 +247,23 @@
         }
     }
 
-    /// The workspace that an API key belongs to.
+    /// Returns the workspace of an API key, if the key is known.
     pub fn workspace_of(&self, key: &str) -> Option<&WorkspaceSpec> {
         let index = *self.by_key.get(&hash_key(key))?;
         self.document.workspaces.get(index)
     }
 
-    /// Whether a model of that name exists.
+    /// Returns whether the bundle defines a model with this name.
     pub fn has_model(&self, name: &ids::ServiceName) -> bool {
         self.document.models.iter().any(|m| &m.name == name)
     }
 
-    /// Whether there is a model or a plain service of that name.
+    /// Returns whether the bundle defines a model or plain service with this name.
     pub fn serves(&self, name: &ids::ServiceName) -> bool {
         self.has_model(name) || self.service(name).is_some()
     }
 
-    /// The plain service of that name.
+    /// Returns the plain service with this name.
     pub fn service(&self, name: &ids::ServiceName) -> Option<&ServiceSpec> {
         self.document.services.iter().find(|s| &s.name == name)
     }
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,18 +1,18 @@
-//! Monotonic time as a value, so that decisions can be driven by tests.
+//! Monotonic time as a value, so that tests can control the time used for decisions.
 
 use std::{fmt, ops, sync, time};
 
-/// A point in monotonic time, in microseconds since an origin of the process.
+/// Point in monotonic time, in microseconds since a process-specific origin.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct MonotonicTime(pub u64);
 
 impl MonotonicTime {
-    /// Time since an earlier moment; zero if that one is later.
+    /// Returns the time elapsed since `earlier`, or zero if it is later than `self`.
     pub fn since(self, earlier: Self) -> time::Duration {
         time::Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
 
-    /// The moment so long before; the origin if there was none.
+    /// Returns the time `duration` earlier, saturating at the origin.
     pub fn before(self, duration: time::Duration) -> Self {
         Self(self.0.saturating_sub(duration.as_micros() as u64))
     }
@@ -32,32 +32,32 @@
     }
 }
 
-/// Where the shells take the time from.
+/// Source of monotonic time.
 pub trait MonotonicClock: Send + Sync {
-    /// The time now.
+    /// Returns the current time.
     fn now(&self) -> MonotonicTime;
 }
 
-/// A point in time by a clock that counts on while the machine is suspended.
+/// Point in time on a clock that keeps counting while the machine is suspended.
 ///
-/// The steady clock of the standard library stands still meanwhile: what it says is
-/// young may be long outdated, as a view, a connection or what a caller still waits.
+/// The monotonic clock of the standard library stops during suspension. By that clock,
+/// an outdated snapshot, connection or request deadline can still appear recent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct BootInstant(time::Duration);
 
 impl BootInstant {
-    /// The time now.
+    /// Returns the current time.
     pub fn now() -> Self {
         let since_boot = nix::time::ClockId::CLOCK_BOOTTIME.now();
         Self(since_boot.map_or_else(|_| since_first_use(), time::Duration::from))
     }
 
-    /// Time since then.
+    /// Returns the time elapsed since this point.
     pub fn elapsed(self) -> time::Duration {
         Self::now().duration_since(self)
     }
 
-    /// Time since an earlier point; zero if that one is later.
+    /// Returns the time elapsed since `earlier`, or zero if it is later than `self`.
     pub fn duration_since(self, earlier: Self) -> time::Duration {
         self.0.saturating_sub(earlier.0)
     }
@@ -71,46 +71,52 @@
     }
 }
 
-/// The steady clock, where a kernel does not give the other one.
+/// Returns the time since the first call, by the standard library's clock.
+///
+/// Fallback for kernels without `CLOCK_BOOTTIME`.
 fn since_first_use() -> time::Duration {
     static FIRST: sync::OnceLock<time::Instant> = sync::OnceLock::new();
     FIRST.get_or_init(time::Instant::now).elapsed()
 }
 
-/// Tells how long the machine was suspended.
+/// Gauge of the time that the machine spent suspended.
 #[derive(Debug, Clone, Copy)]
 pub struct SuspensionGauge {
-    begun: BootInstant,
-    steady: time::Instant,
+    boot: BootInstant,
+    monotonic: time::Instant,
 }
 
 impl Default for SuspensionGauge {
     fn default() -> Self {
         Self {
-            begun: BootInstant::now(),
-            steady: time::Instant::now(),
+            boot: BootInstant::now(),
+            monotonic: time::Instant::now(),
         }
     }
 }
 
 impl SuspensionGauge {
-    /// Time since the last question in which the machine was suspended, if it was.
+    /// Returns the time spent suspended since the last call, if any, and resets the gauge.
     pub fn take(&mut self) -> Option<time::Duration> {
-        let passed = self.begun.elapsed();
-        let counted = self.steady.elapsed();
+        let boot_elapsed = self.boot.elapsed();
+        let monotonic_elapsed = self.monotonic.elapsed();
         *self = Self::default();
-        let lost = passed.saturating_sub(counted);
-        (lost >= LEAST_SUSPENSION).then_some(lost)
+        let suspended = boot_elapsed.saturating_sub(monotonic_elapsed);
+        (suspended >= MIN_SUSPENSION).then_some(suspended)
     }
 }
 
-/// Differences of the two clocks up to this are of reading them one after the other.
-const LEAST_SUSPENSION: time::Duration = time::Duration::from_millis(100);
+/// Minimum clock difference that counts as suspension.
+///
+/// Smaller differences can arise because the two clocks are read one after the other.
+const MIN_SUSPENSION: time::Duration = time::Duration::from_millis(100);
 
-/// Moments that lie before the start of a process, as what others saw before it.
-const PAST: time::Duration = time::Duration::from_secs(30 * 24 * 3600);
+/// Offset of the process start from the origin.
+///
+/// Leaves room to represent events that other processes observed before this one started.
+const ORIGIN_OFFSET: time::Duration = time::Duration::from_secs(30 * 24 * 3600);
 
-/// The system's monotonic clock, which counts on while the machine is suspended.
+/// System clock that keeps counting while the machine is suspended.
 pub struct SystemClock {
     origin: BootInstant,
 }
@@ -125,12 +131,12 @@
 
 impl MonotonicClock for SystemClock {
     fn now(&self) -> MonotonicTime {
-        let since = PAST + self.origin.elapsed();
+        let since = ORIGIN_OFFSET + self.origin.elapsed();
         MonotonicTime(since.as_micros() as u64)
     }
 }
 
-/// Milliseconds since the epoch.
+/// Returns the current wall-clock time, in milliseconds since the Unix epoch.
 pub fn epoch_ms() -> u64 {
     let since = time::SystemTime::now().duration_since(time::UNIX_EPOCH);
     since.map_or(0, |d| d.as_millis() as u64)
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -1,32 +1,32 @@
-//! What the daemons' programs share: flags, settings, signals, planned stops.
+//! Command-line flags, settings loading and signal handling shared by all daemons.
 
 use std::{path, process, sync::mpsc, time};
 
 use crate::{fleet, log_setup, settings};
 
-/// Exit code of a second signal during a planned stop.
-const IMPATIENT_EXIT: i32 = 130;
-/// How often a daemon looks whether it was asked to stop through the object service.
+/// Exit code when a second signal interrupts a graceful shutdown.
+const SECOND_SIGNAL_EXIT_CODE: i32 = 130;
+/// Interval between checks for a stop request from the object service.
 const STOP_POLL: time::Duration = time::Duration::from_millis(200);
 
-/// Flags of every daemon.
+/// Command-line flags common to all daemons.
 #[derive(Debug, clap::Args)]
 pub struct DaemonFlags {
     /// Settings file, in JSON.
     #[arg(long, value_name = "FILE")]
     pub config: path::PathBuf,
-    /// Check the settings file, print what would be in force, and exit.
+    /// Check the settings file, print the effective settings, and exit.
     #[arg(long)]
     pub check_config: bool,
-    /// Least severe events to log: off, error, warn, info, debug, trace.
+    /// Minimum severity of log events: off, error, warn, info, debug, trace.
     #[arg(long, default_value = "info")]
     pub log_level: log::LevelFilter,
 }
 
-/// Reads the settings and starts the log; nothing if only a check was wanted.
+/// Loads the settings and starts logging; returns `None` after `--check-config`.
 ///
 /// # Errors
-/// The settings are refused.
+/// Returns an error if the settings cannot be loaded or are invalid.
 pub fn prepare<T: settings::CheckedSettings>(
     flags: &DaemonFlags,
 ) -> Result<Option<T>, settings::SettingsError> {
@@ -40,30 +40,30 @@
     Ok(Some(settings))
 }
 
-/// Signals that ask the process to stop: SIGINT, SIGTERM, SIGHUP.
+/// Receiver of the termination signals SIGINT, SIGTERM and SIGHUP.
 pub struct StopSignals {
     received: mpsc::Receiver<()>,
 }
 
 impl StopSignals {
-    /// Begins to listen; the second signal ends the process at once.
+    /// Installs the signal handler; a second signal terminates the process immediately.
     ///
     /// # Errors
-    /// The system refuses the handler.
+    /// Returns an error if the handler cannot be installed.
     pub fn listen() -> Result<Self, ctrlc::Error> {
         let (sender, received) = mpsc::sync_channel(1);
         let mut signals = 0;
         ctrlc::set_handler(move || {
             signals += 1;
             if signals > 1 {
-                process::exit(IMPATIENT_EXIT);
+                process::exit(SECOND_SIGNAL_EXIT_CODE);
             }
             let _ = sender.try_send(());
         })?;
         Ok(Self { received })
     }
 
-    /// Waits for a signal, or until an operator asked this instance to stop.
+    /// Blocks until a signal arrives or an operator requests that this instance stop.
     pub fn wait(&self, fleet: Option<&fleet::FleetHandle>) {
         loop {
             if self.received.recv_timeout(STOP_POLL).is_ok() {
--- a/src/daemon_parts.rs
+++ b/src/daemon_parts.rs
@@ -1,27 +1,27 @@
-//! What every daemon is made of: clock, metrics, object service, links, view of the fleet.
+//! Components common to all daemons: clock, metrics, object service, links and fleet state.
 
 use std::{io, net, sync, time};
 
 use crate::{clock, fleet, link, metrics, settings, store, store_client};
 
-/// The parts of a daemon before it has a view of the fleet.
+/// Daemon components that are created before the fleet state is available.
 pub struct DaemonParts {
-    /// Its clock.
+    /// Monotonic clock.
     pub clock: sync::Arc<dyn clock::MonotonicClock>,
-    /// Its metrics.
+    /// Metrics of the process.
     pub metrics: sync::Arc<metrics::MetricSet>,
-    /// The platform's object service.
+    /// Client of the platform's object service.
     pub store: sync::Arc<dyn store::ObjectStore>,
-    /// Links to its peers.
+    /// Client for links to peers.
     pub link_client: link::LinkClient,
     secret: link::LinkSecret,
 }
 
 impl DaemonParts {
-    /// Starts the threads of the object service's client and of the link client.
+    /// Starts the threads of the object service client and the link client.
     ///
     /// # Errors
-    /// A thread cannot be started.
+    /// Returns an error if a thread cannot be started.
     pub fn start(
         store: &settings::common::StoreSettings,
         link: &settings::common::LinkSettings,
@@ -45,10 +45,10 @@
         })
     }
 
-    /// Begins to answer peers.
+    /// Starts serving requests from peers.
     ///
     /// # Errors
-    /// The address cannot be bound, or the thread cannot be started.
+    /// Returns an error if the address cannot be bound or the thread cannot be started.
     pub fn serve_peers(
         &self,
         listen: net::SocketAddr,
@@ -57,10 +57,10 @@
         link::serve(listen, self.secret.clone(), handler, self.metrics.clone())
     }
 
-    /// Begins to watch the fleet, and to show this daemon in it.
+    /// Starts watching the fleet and registers this daemon as a member.
     ///
     /// # Errors
-    /// The thread cannot be started.
+    /// Returns an error if the thread cannot be started.
     pub fn watch_fleet(
         &self,
         instance: &settings::common::InstanceSettings,
--- a/src/dev.rs
+++ b/src/dev.rs
@@ -1,11 +1,11 @@
-//! `jayhollow dev`: everything in one process, on embedded stand-ins.
+//! `jayhollow dev`: runs a whole fleet in one process, with embedded stand-ins.
 
 use crate::{cli, daemon, local_fleet, smoke};
 
 /// Runs `jayhollow dev`.
 ///
 /// # Errors
-/// The fleet cannot be started, or a call of the smoke run went wrong.
+/// Returns an error if the fleet cannot be started or stopped, or if a smoke test fails.
 pub fn run(flags: &cli::DevFlags) -> cli::CommandResult<()> {
     let signals = daemon::StopSignals::listen().map_err(cli::CommandError::failed)?;
     let spec = local_fleet::LocalFleetSpec {
--- a/src/endpoint_client.rs
+++ b/src/endpoint_client.rs
@@ -1,4 +1,4 @@
-//! One attempt at one endpoint, and how it ended.
+//! Sends one attempt of a request to an endpoint and reports its outcome.
 
 use std::{net, time};
 
@@ -8,60 +8,60 @@
 
 use crate::{http_client, ids, log_error::LogError as _, outcome, protection, wire};
 
-/// Largest whole answer of an endpoint, in bytes.
-const MAX_ANSWER_BYTES: usize = 16 << 20;
+/// Maximum size of a non-streaming response body, in bytes.
+const MAX_RESPONSE_BYTES: usize = 16 << 20;
 
-/// A request to an endpoint.
+/// Request to an endpoint.
 #[derive(Debug, Clone)]
 pub struct EndpointCall {
-    /// Where the endpoint is.
+    /// Address of the endpoint.
     pub address: net::SocketAddr,
-    /// Method of HTTP.
+    /// HTTP method.
     pub method: Method,
     /// Path and query.
     pub path: String,
     /// Content type of the body.
     pub content_type: String,
-    /// The body.
+    /// Body.
     pub body: bytes::Bytes,
-    /// Name of the attempt, echoed by the endpoint.
+    /// Attempt identifier, echoed by the endpoint.
     pub attempt: ids::AttemptId,
-    /// Event after which a cut stream goes on.
+    /// Index of the event after which to resume an interrupted stream.
     pub resume_after: Option<u32>,
-    /// How long the endpoint keeps a stream whose reader left.
+    /// Time for which the endpoint keeps a stream after its reader disconnects.
     pub keep: Option<time::Duration>,
-    /// Longest wait for the answer's head.
+    /// Maximum wait for the response head; for a whole response, also for its body.
     pub timeout: time::Duration,
 }
 
-/// A whole answer of an endpoint.
+/// Complete response of an endpoint.
 #[derive(Debug, Clone)]
 pub struct EndpointResponse {
-    /// Status of HTTP.
+    /// HTTP status code.
     pub status: StatusCode,
     /// Content type of the body.
     pub content_type: String,
-    /// The body.
+    /// Body.
     pub body: bytes::Bytes,
 }
 
-/// One event of a stream.
+/// Event of a response stream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StreamEvent {
-    /// Index in the answer, from 0.
+    /// Zero-based index in the response.
     pub index: u32,
-    /// Data as the endpoint sent it.
+    /// Event data as sent by the endpoint.
     pub data: String,
-    /// Text that the event adds to the answer.
+    /// Text that the event appends to the response.
     pub text: String,
-    /// Whether it ends the answer.
+    /// Whether this is the last event of the response.
     pub last: bool,
 }
 
-/// Events of an open stream; an error means that it was cut.
+/// Events of an open stream; an error means that the stream was interrupted.
 pub type EventStream = stream::LocalBoxStream<'static, Result<StreamEvent, String>>;
 
-/// Marks an answer that belongs to another attempt.
+/// Error message for a response whose attempt identifier does not match the request.
 pub const CROSSED: &str = "the answer belongs to another attempt";
 
 fn request(client: &awc::Client, call: &EndpointCall) -> awc::ClientRequest {
@@ -82,7 +82,7 @@
 
 type Response = awc::ClientResponse<actix_http::BoxedPayloadStream>;
 
-/// Sends the request and checks the head of the answer.
+/// Sends the request and checks the response head.
 async fn send(
     client: &awc::Client,
     call: &EndpointCall,
@@ -109,10 +109,10 @@
     Ok(response)
 }
 
-fn recast<T>(ended: outcome::AttemptOutcome<()>) -> outcome::AttemptOutcome<T> {
+fn convert_error<T>(ended: outcome::AttemptOutcome<()>) -> outcome::AttemptOutcome<T> {
     use outcome::AttemptOutcome as O;
     match ended {
-        // A bare `Completed` is never made by `send`.
+        // `send` never returns `Completed` as an error.
         O::Completed(()) => O::Unknown(String::new()),
         O::NotRun(proof) => O::NotRun(proof),
         O::Failed(reason) => O::Failed(reason),
@@ -120,14 +120,14 @@
     }
 }
 
-/// Asks for a whole answer.
+/// Sends a request and reads the complete response.
 pub async fn call_whole(
     client: &awc::Client,
     call: &EndpointCall,
 ) -> outcome::AttemptOutcome<EndpointResponse> {
     let mut response = match send(client, call).await {
         Ok(response) => response,
-        Err(ended) => return recast(ended),
+        Err(ended) => return convert_error(ended),
     };
     let status = response.status();
     let content_type = response
@@ -136,7 +136,7 @@
         .and_then(|v| v.to_str().ok())
         .unwrap_or("application/octet-stream")
         .to_owned();
-    let reading = response.body().limit(MAX_ANSWER_BYTES);
+    let reading = response.body().limit(MAX_RESPONSE_BYTES);
     let body = match actix_rt::time::timeout(call.timeout, reading).await {
         Ok(Ok(body)) => body,
         Ok(Err(e)) => return outcome::AttemptOutcome::Unknown(e.to_string()),
@@ -152,22 +152,22 @@
     })
 }
 
-/// A stream that began, or the whole answer that came in its place.
+/// Result of opening a stream: its events, or a complete response instead.
 pub enum OpenedStream {
-    /// Events.
+    /// Stream of events.
     Events(EventStream),
-    /// The endpoint answered otherwise: a fault of the request.
+    /// Complete response, sent when the request itself is at fault.
     Whole(EndpointResponse),
 }
 
-/// Opens a stream.
+/// Sends a request and opens its response stream.
 pub async fn open_stream(
     client: &awc::Client,
     call: &EndpointCall,
 ) -> outcome::AttemptOutcome<OpenedStream> {
     let mut response = match send(client, call).await {
         Ok(response) => response,
-        Err(ended) => return recast(ended),
+        Err(ended) => return convert_error(ended),
     };
     let status = response.status();
     if status.is_success() {
@@ -176,7 +176,7 @@
     if status.is_server_error() || status == StatusCode::GONE {
         return outcome::AttemptOutcome::Failed(format!("the endpoint answered {status}"));
     }
-    match response.body().limit(MAX_ANSWER_BYTES).await {
+    match response.body().limit(MAX_RESPONSE_BYTES).await {
         Ok(body) => outcome::AttemptOutcome::Completed(OpenedStream::Whole(EndpointResponse {
             status,
             content_type: "application/json".into(),
@@ -186,7 +186,7 @@
     }
 }
 
-/// The part of a stream's data that decisions need.
+/// Fields of a stream chunk that are parsed here.
 #[derive(serde::Deserialize)]
 struct ChunkData {
     choices: Vec<ChunkChoice>,
@@ -208,13 +208,13 @@
 }
 
 fn events(response: Response) -> EventStream {
-    let mut counted = 0;
+    let mut next = 0;
     response
         .eventsource()
         .filter_map(move |event| {
             let parsed = match event {
                 Ok(event) if event.data == "[DONE]" => None,
-                Ok(event) => Some(parse_event(event, &mut counted)),
+                Ok(event) => Some(parse_event(event, &mut next)),
                 Err(e) => Some(Err(e.to_string())),
             };
             std::future::ready(parsed)
@@ -222,11 +222,11 @@
         .boxed_local()
 }
 
-/// Reads an event; one without an index gets the next one.
-fn parse_event(event: eventsource_stream::Event, counted: &mut u32) -> Result<StreamEvent, String> {
+/// Parses an event; an event without an index is assigned the next one.
+fn parse_event(event: eventsource_stream::Event, next: &mut u32) -> Result<StreamEvent, String> {
     let data: ChunkData = serde_json::from_str(&event.data).map_err(|e| e.to_string())?;
-    let index = event.id.parse().unwrap_or(*counted);
-    *counted = index + 1;
+    let index = event.id.parse().unwrap_or(*next);
+    *next = index + 1;
     let choice = data.choices.into_iter().next();
     let last = choice.as_ref().is_some_and(|c| c.finish_reason.is_some());
     let text = choice
@@ -240,26 +240,26 @@
     })
 }
 
-/// Longest wait for a cancelled stream's engine to answer.
+/// Maximum wait for an engine to confirm that a stream is cancelled.
 const CANCEL_TIMEOUT: time::Duration = time::Duration::from_secs(2);
 
-/// Tells an engine to drop a stream at once.
+/// Requests that an engine cancel a stream immediately.
 ///
-/// A closed connection says the same, but an engine notices that only at its
-/// second write afterwards, two steps later.
+/// Closing the connection also cancels the stream, but an engine notices that only at
+/// its second write afterwards, two steps later.
 pub async fn cancel_stream(
     client: &awc::Client,
     address: net::SocketAddr,
     attempt: &ids::AttemptId,
 ) {
     let url = format!("http://{address}{}{attempt}", wire::STREAMS_PATH);
-    // Without an answer the closed connection still ends the stream.
-    let told = client.delete(url).timeout(CANCEL_TIMEOUT).send().await;
-    told.ok_or_log("stream_cancel_unanswered");
+    // If the request fails, the closed connection still ends the stream.
+    let cancelled = client.delete(url).timeout(CANCEL_TIMEOUT).send().await;
+    cancelled.ok_or_log("stream_cancel_unanswered");
 }
 
-/// A client for endpoints, for the thread that it is made on.
+/// Creates an HTTP client for endpoints, usable on the current thread only.
 pub fn new_client() -> awc::Client {
-    // No bound here: what an endpoint may get is the ledger's to say.
+    // No connection limit here: the ledger limits the load of each endpoint.
     http_client::new_client(0)
 }
--- a/src/error.rs
+++ b/src/error.rs
@@ -1,4 +1,4 @@
-//! The one shape of errors towards callers.
+//! Error responses to callers, all in one format.
 
 use std::time;
 
@@ -6,19 +6,19 @@
 
 use crate::http_server;
 
-/// Whether a request ran, as far as it is known.
+/// Report on whether a request ran.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RanReport {
-    /// No byte of it reached an endpoint, or the endpoint refused it before running.
+    /// No byte reached an endpoint, or the endpoint rejected the request before running it.
     No,
-    /// It ran, and failed.
+    /// The request ran and failed.
     Yes,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
 }
 
-/// Stable codes of errors; see `docs/api.md`.
+/// Stable error codes; see `docs/api.md`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ErrorCode {
@@ -26,36 +26,36 @@
     InvalidApiKey,
     /// The request is malformed.
     InvalidRequest,
-    /// A body, line, item or depth is over its limit.
+    /// A body, line, item or nesting depth exceeds its limit.
     TooLarge,
     /// The request did not arrive in time.
     RequestTimeout,
-    /// No such path, model, service, file or batch.
+    /// The path, model, service, file or batch does not exist.
     NotFound,
-    /// The same idempotency key came with other content.
+    /// The idempotency key was already used with different content.
     IdempotencyConflict,
-    /// The same idempotency key is being worked on.
+    /// A request with the same idempotency key is in progress.
     InProgress,
-    /// The workspace is over its limit.
+    /// The workspace exceeds its limit.
     LimitReached,
-    /// No endpoint can take the request now.
+    /// No endpoint can currently accept the request.
     Overloaded,
     /// The platform's object service cannot be reached.
     StoreUnavailable,
     /// The deadline passed.
     DeadlineExceeded,
-    /// The endpoint failed after it began.
+    /// The endpoint failed after starting the request.
     EndpointFailed,
-    /// It is not known whether the request ran, and it may not be repeated.
+    /// Whether the request ran is unknown, and it must not be retried.
     OutcomeUnknown,
-    /// The instance is stopping.
+    /// The instance is shutting down.
     Stopping,
-    /// A fault of this system.
+    /// An internal error occurred.
     Internal,
 }
 
 impl ErrorCode {
-    /// The status of HTTP that goes with the code.
+    /// Returns the HTTP status for the code.
     pub fn status(self) -> StatusCode {
         match self {
             Self::InvalidApiKey => StatusCode::UNAUTHORIZED,
@@ -74,7 +74,7 @@
         }
     }
 
-    /// The code as text, as it stands in answers and metrics.
+    /// Returns the code as it appears in responses and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::InvalidApiKey => "invalid_api_key",
@@ -96,43 +96,43 @@
     }
 }
 
-/// A final answer that is an error.
+/// Error returned to a caller as the final response.
 #[derive(Debug, Clone, thiserror::Error)]
 #[error("{}: {message}", code.as_str())]
 pub struct ApiError {
-    /// What went wrong.
+    /// Stable error code.
     pub code: ErrorCode,
-    /// For a person to read.
+    /// Human-readable message.
     pub message: String,
     /// Whether the request ran.
     pub ran: RanReport,
-    /// When to come back, if that helps.
+    /// Suggested delay before a retry, if a retry may succeed.
     pub retry_after: Option<time::Duration>,
 }
 
-/// The JSON of an error.
+/// JSON body of an error response.
 #[derive(Debug, serde::Serialize, serde::Deserialize)]
 pub struct ErrorBody {
-    /// The error itself.
+    /// Error details.
     pub error: ErrorDetail,
 }
 
-/// The fields of an error.
+/// Error details in the JSON body.
 #[derive(Debug, serde::Serialize, serde::Deserialize)]
 pub struct ErrorDetail {
-    /// Stable code.
+    /// Stable error code.
     pub code: ErrorCode,
-    /// The same code, under the name that client libraries of the protocol read.
+    /// Same code, in the field that client libraries of the protocol read.
     #[serde(rename = "type")]
     pub kind: ErrorCode,
-    /// For a person to read.
+    /// Human-readable message.
     pub message: String,
     /// Whether the request ran.
     pub ran: RanReport,
 }
 
 impl ApiError {
-    /// An error of a request that has not run.
+    /// Creates an error for a request that has not run.
     pub fn not_run(code: ErrorCode, message: impl Into<String>) -> Self {
         let retry_after = match code {
             ErrorCode::LimitReached | ErrorCode::Overloaded | ErrorCode::InProgress => Some(1),
@@ -148,7 +148,7 @@
         }
     }
 
-    /// An error of a request that ran or may have run.
+    /// Creates an error for a request that ran or may have run.
     pub fn ran(code: ErrorCode, ran: RanReport, message: impl Into<String>) -> Self {
         let message = message.into();
         Self {
@@ -157,7 +157,7 @@
         }
     }
 
-    /// The JSON of the error.
+    /// Returns the JSON body of the error.
     pub fn body(&self) -> ErrorBody {
         ErrorBody {
             error: ErrorDetail {
@@ -169,7 +169,7 @@
         }
     }
 
-    /// The answer to give.
+    /// Returns the HTTP response for the error.
     pub fn to_response(&self) -> http_server::HttpResponse {
         let mut response = http_server::json(self.code.status(), &self.body());
         if let Some(after) = self.retry_after {
@@ -181,5 +181,5 @@
     }
 }
 
-/// Outcome of a call that answers a caller.
+/// Result of an API call.
 pub type ApiResult<T> = Result<T, ApiError>;
--- a/src/http_client.rs
+++ b/src/http_client.rs
@@ -1,10 +1,10 @@
-//! HTTP clients that tell a cut answer from a whole one.
+//! HTTP clients that detect truncated responses.
 //!
-//! The client library ends a body quietly when the peer closes the connection
-//! before the announced length or the last chunk. Here the end of a connection
-//! is an error of its stream, so that a cut body is an error too. Answers that
-//! are framed by the end of the connection alone cannot be told to be whole
-//! and are refused by the same rule.
+//! The client library ends a body without an error when the peer closes the
+//! connection before the announced length or the last chunk. This module turns the
+//! end of a connection into a stream error, so that a truncated body is an error
+//! too. Responses that are delimited only by the end of the connection cannot be
+//! verified as complete and are therefore rejected as well.
 
 use std::{io, pin, task, time};
 
@@ -15,7 +15,7 @@
 
 use crate::{log_error::LogError as _, protection};
 
-/// A connection whose end is an error.
+/// TCP stream that reports end of file as an error.
 #[derive(Debug)]
 struct GuardedStream {
     inner: net::TcpStream,
@@ -27,10 +27,11 @@
         context: &mut task::Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> task::Poll<io::Result<()>> {
-        let room = buffer.remaining();
+        let capacity = buffer.remaining();
         let before = buffer.filled().len();
         let read = pin::Pin::new(&mut self.inner).poll_read(context, buffer);
-        let ended = room > 0 && buffer.filled().len() == before && !protection::is_disabled("cut");
+        let ended =
+            capacity > 0 && buffer.filled().len() == before && !protection::is_disabled("cut");
         match read {
             task::Poll::Ready(Ok(())) if ended => {
                 task::Poll::Ready(Err(io::ErrorKind::UnexpectedEof.into()))
@@ -80,15 +81,15 @@
     }
 }
 
-/// Longest wait for a connection.
+/// Maximum wait for a connection to be established.
 const CONNECT_TIMEOUT: time::Duration = time::Duration::from_millis(1000);
-/// How long an idle connection is kept.
+/// Time for which an idle connection is kept open.
 const KEEP_ALIVE: time::Duration = time::Duration::from_secs(15);
 
-/// A client for the thread that it is made on.
+/// Creates an HTTP client, usable on the current thread only.
 ///
-/// `connections` bounds the connections to one peer; 0 is no bound. Requests
-/// have no timeout of their own.
+/// `connections` limits the connections per peer; 0 means no limit. The client sets
+/// no default timeout for requests.
 pub fn new_client(connections: usize) -> awc::Client {
     let tcp = connect::ConnectorService::default().map(|connection| {
         let (inner, connection) = connection.replace_io(());
--- a/src/http_server.rs
+++ b/src/http_server.rs
@@ -1,4 +1,4 @@
-//! One HTTP server: listener, worker threads, limits, graceful shutdown.
+//! HTTP server with a listener, worker threads, limits and graceful shutdown.
 
 use std::{
     cell, convert, io, net, rc,
@@ -9,30 +9,30 @@
 use actix_http::body;
 use futures::{future, StreamExt as _};
 
-/// What answers the requests of one worker thread.
+/// Request handler of one worker thread.
 pub trait RequestHandler {
-    /// Answers one request; dropped when the caller goes away.
+    /// Handles a request; the future is dropped if the caller disconnects.
     fn handle(&self, request: actix_http::Request)
         -> future::LocalBoxFuture<'static, HttpResponse>;
 }
 
-/// The answer of a handler.
+/// Response of a handler.
 pub type HttpResponse = actix_http::Response<body::BoxBody>;
 
-/// Makes the handler of each worker thread.
+/// Factory that creates the handler of each worker thread.
 pub type HandlerFactory = sync::Arc<dyn Fn() -> rc::Rc<dyn RequestHandler> + Send + Sync>;
 
-/// Connections that are open, over all workers of a server.
+/// Number of open connections, across all workers of a server.
 #[derive(Debug, Default)]
 pub struct ConnectionCount(atomic::AtomicUsize);
 
-/// One connection, counted while it is open.
+/// Guard that counts a connection while it is open.
 #[derive(Debug)]
 pub struct ConnectionGuard {
     count: sync::Arc<ConnectionCount>,
     unserved: Option<prometheus::IntCounter>,
     served: cell::Cell<bool>,
-    /// Whether it came when as many as allowed were open.
+    /// Whether the connection limit was already reached when this connection was opened.
     pub is_over: bool,
 }
 
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Notes that a whole head came.
+    /// Records that a complete request head was received.
     pub fn record_request(&self) {
         self.served.set(true);
     }
@@ -62,7 +62,7 @@
     }
 }
 
-/// What the connections of a server share.
+/// State and limits shared by the connections of a server.
 #[derive(Clone)]
 struct ConnectionTerms {
     count: sync::Arc<ConnectionCount>,
@@ -70,30 +70,30 @@
     limit: usize,
 }
 
-/// Connections beyond the limit that are still accepted, to be told so.
-const SPARE_CONNECTIONS: usize = 256;
+/// Number of connections accepted beyond the limit, so that they receive an error response.
+const OVERFLOW_CONNECTIONS: usize = 256;
 
-/// How a server is run.
+/// Server configuration.
 #[derive(Debug, Clone)]
 pub struct ServerOptions {
-    /// Name of the server, for its threads.
+    /// Server name, also used for its threads.
     pub name: &'static str,
-    /// Worker threads, at least 1.
+    /// Number of worker threads; 0 is treated as 1.
     pub workers: usize,
-    /// Connections at once; requests of further ones are to be refused by the handler.
+    /// Maximum number of open connections; the handler must reject requests beyond it.
     pub max_connections: usize,
-    /// Counts connections that ended without a whole head of a request.
+    /// Counter of connections that ended without a complete request head.
     pub unserved: Option<prometheus::IntCounter>,
-    /// Longest wait for a request's head.
+    /// Maximum wait for a request head.
     pub head_timeout: time::Duration,
-    /// Longest wait for requests in flight at a graceful shutdown.
+    /// Maximum wait for requests in flight during a graceful shutdown.
     pub stop_timeout: time::Duration,
-    /// TLS towards callers, if wanted.
+    /// TLS configuration, if TLS is enabled.
     pub tls: Option<sync::Arc<rustls::ServerConfig>>,
 }
 
 impl ServerOptions {
-    /// Options for a server named `name` with one worker and customary limits.
+    /// Creates options for a server named `name`, with one worker and default limits.
     pub fn named(name: &'static str) -> Self {
         Self {
             name,
@@ -107,16 +107,16 @@
     }
 }
 
-/// A running server; the thread ends when [`ServerGuard::stop`] is called.
+/// Handle to a running server, whose thread ends when [`ServerGuard::stop`] is called.
 pub struct ServerGuard {
-    /// The address the server listens on.
+    /// Address that the server listens on.
     pub address: net::SocketAddr,
     handle: actix_server::ServerHandle,
     thread: Option<thread::JoinHandle<io::Result<()>>>,
 }
 
 impl ServerGuard {
-    /// Stops the server; with `graceful` it first finishes the requests in flight.
+    /// Stops the server; if `graceful`, waits for requests in flight first.
     pub fn stop(mut self, graceful: bool) -> io::Result<()> {
         drop(self.handle.stop(graceful));
         match self.thread.take().map(thread::JoinHandle::join) {
@@ -126,10 +126,10 @@
     }
 }
 
-/// Binds `listen` and serves it on threads of its own.
+/// Binds `listen` and starts a server on its own threads.
 ///
 /// # Errors
-/// The address cannot be bound, or a thread cannot be started.
+/// Returns an error if the address cannot be bound or a thread cannot be started.
 pub fn start(
     listen: &str,
     options: ServerOptions,
@@ -157,7 +157,7 @@
     })
 }
 
-/// The HTTP service of one worker; a macro, as its type depends on the transport.
+/// Builds the HTTP service of a worker; a macro because its type depends on the transport.
 macro_rules! http_service {
     ($factory:expr, $head_timeout:expr, $terms:expr) => {{
         let terms = $terms.clone();
@@ -184,7 +184,7 @@
 ) -> io::Result<actix_server::Server> {
     let builder = actix_server::Server::build()
         .workers(options.workers.max(1))
-        .max_concurrent_connections(options.max_connections + SPARE_CONNECTIONS)
+        .max_concurrent_connections(options.max_connections + OVERFLOW_CONNECTIONS)
         .shutdown_timeout(options.stop_timeout.as_secs())
         .disable_signals();
     let head_timeout = options.head_timeout;
@@ -204,16 +204,16 @@
     Ok(builder.run())
 }
 
-/// Why a request's body was not read.
+/// Error while reading a request body.
 #[derive(Debug, thiserror::Error)]
 pub enum BodyError {
-    /// The body is larger than allowed.
+    /// The body exceeds the limit, in bytes.
     #[error("the body is larger than {0} bytes")]
     TooLarge(usize),
-    /// The body did not arrive in time.
+    /// The body did not arrive within the timeout.
     #[error("the body did not arrive within {0:?}")]
     TooSlow(time::Duration),
-    /// The connection broke or the body was malformed.
+    /// The connection failed or the body was malformed.
     #[error("the body cannot be read: {0}")]
     Broken(String),
 }
@@ -221,7 +221,7 @@
 /// Reads a body of at most `limit` bytes within `timeout`.
 ///
 /// # Errors
-/// See [`BodyError`].
+/// Returns a [`BodyError`] if the body is too large, late or malformed.
 pub async fn read_body(
     request: &mut actix_http::Request,
     limit: usize,
@@ -245,7 +245,7 @@
     }
 }
 
-/// A JSON answer.
+/// Creates a JSON response.
 pub fn json(status: actix_http::StatusCode, value: &impl serde::Serialize) -> HttpResponse {
     let text = serde_json::to_vec(value).unwrap_or_default();
     actix_http::Response::build(status)
@@ -254,7 +254,7 @@
         .map_into_boxed_body()
 }
 
-/// An answer with a plain body.
+/// Creates a plain-text response.
 pub fn plain(status: actix_http::StatusCode, text: impl Into<String>) -> HttpResponse {
     actix_http::Response::build(status)
         .insert_header(("content-type", "text/plain; charset=utf-8"))
@@ -262,12 +262,12 @@
         .map_into_boxed_body()
 }
 
-/// The value of a header, if present and readable.
+/// Returns the value of a header, if it is present and readable as text.
 pub fn header<'a>(head: &'a actix_http::RequestHead, name: &str) -> Option<&'a str> {
     head.headers().get(name).and_then(|v| v.to_str().ok())
 }
 
-/// The value of a parameter of the query, if present.
+/// Returns the decoded value of a query parameter, if present.
 pub fn query(uri: &actix_http::Uri, name: &str) -> Option<String> {
     let query = uri.query()?;
     url::form_urlencoded::parse(query.as_bytes())
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -1,16 +1,16 @@
-//! Names and identifiers, each a type of its own so that they cannot be mixed up.
+//! Names and identifiers, each with its own type so that they cannot be confused.
 
 use std::{borrow, fmt, num, str};
 
 use xxhash_rust::xxh3;
 
-/// Longest accepted identifier, in bytes.
+/// Maximum length of an identifier, in bytes.
 pub const MAX_ID_BYTES: usize = 128;
 
-/// What an identifier looks like, for schemas.
+/// Pattern for identifiers in JSON schemas.
 const ID_PATTERN: &str = "^[A-Za-z0-9._-]{1,128}$";
 
-/// Why a text is not an identifier.
+/// Error for text that is not a valid identifier.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{kind} '{text}' is not valid: 1 to {MAX_ID_BYTES} of letters, digits, '.', '_', '-' are allowed")]
 pub struct IdError {
@@ -41,7 +41,7 @@
         pub struct $name(String);
 
         impl $name {
-            /// The identifier as text.
+            /// Returns the identifier as text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -90,39 +90,39 @@
 }
 
 text_id!(
-    /// Names a caller's workspace, the unit of authentication and limits.
+    /// Identifier of a caller's workspace, the unit of authentication and limits.
     WorkspaceId
 );
 text_id!(
-    /// Names a model or a plain service, whatever endpoints serve it.
+    /// Name of a model or plain service, independent of the endpoints that serve it.
     ServiceName
 );
 text_id!(
-    /// Names one endpoint: a model engine or a replica of a plain service.
+    /// Identifier of an endpoint: a model engine or a replica of a plain service.
     EndpointId
 );
 text_id!(
-    /// Names one process of this system.
+    /// Identifier of an instance: one gateway or dispatcher process.
     InstanceId
 );
 text_id!(
-    /// Names a failure domain.
+    /// Name of a failure domain.
     DomainName
 );
 text_id!(
-    /// Names a batch job.
+    /// Identifier of a batch job.
     JobId
 );
 text_id!(
-    /// Names an uploaded file.
+    /// Identifier of an uploaded file.
     FileId
 );
 text_id!(
-    /// Names one attempt of one request; echoed by endpoints.
+    /// Identifier of one attempt of a request; endpoints echo it.
     AttemptId
 );
 
-/// Index of a chunk in its file, from 0.
+/// Zero-based index of a chunk in its file.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize,
 )]
@@ -130,7 +130,7 @@
 
 impl fmt::Display for ChunkIndex {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        // Padded, so that the order of keys is the order of chunks.
+        // Zero-padded, so that keys sort in chunk order.
         write!(f, "{:06}", self.0)
     }
 }
@@ -143,15 +143,15 @@
     }
 }
 
-/// Makes an identifier that no other process makes: `prefix` and 128 random bits.
+/// Generates a unique identifier from `prefix` and a random UUID (version 4).
 pub fn unique(prefix: &str) -> String {
     format!("{prefix}-{}", uuid::Uuid::new_v4().simple())
 }
 
-/// When an endpoint started, in milliseconds since the epoch, by its own clock.
+/// Start time of an endpoint by its own clock, in milliseconds since the Unix epoch.
 ///
-/// With its id it names one run of the endpoint: a later start holds nothing and
-/// knows nothing of the one before.
+/// Together with the endpoint identifier, it identifies one run of the endpoint: no
+/// requests or other state survive a restart.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize,
 )]
@@ -171,14 +171,14 @@
     }
 }
 
-/// One run of an endpoint, from its start to its end.
+/// Identifier of one run of an endpoint, from start to exit.
 #[derive(
     Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize,
 )]
 pub struct EndpointRun {
-    /// The endpoint.
+    /// Endpoint identifier.
     pub endpoint: EndpointId,
-    /// When it started, if its entry says so.
+    /// Start time of the run, if the endpoint entry contains it.
     pub started: Option<StartTime>,
 }
 
@@ -191,14 +191,16 @@
     }
 }
 
-/// Tells the runs of an instance apart: drawn at random at each start, as clocks step.
+/// Random number that identifies a run of an instance.
+///
+/// Start times would be ambiguous, because clocks can be set back.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize,
 )]
 pub struct RunNumber(u64);
 
 impl RunNumber {
-    /// A number for a run that begins.
+    /// Generates the number of a new run.
     pub fn random() -> Self {
         Self(rand::random())
     }
@@ -218,13 +220,14 @@
     }
 }
 
-/// One run of an instance, from its start to its end: the next one has nothing of what
-/// this one held.
+/// Identifier of one run of an instance, from start to exit.
+///
+/// A new run keeps nothing that the previous one held.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
 pub struct InstanceRun {
-    /// The instance.
+    /// Instance identifier.
     pub instance: InstanceId,
-    /// Which of its runs.
+    /// Number of the run.
     pub run: RunNumber,
 }
 
@@ -234,19 +237,22 @@
     }
 }
 
-/// Tells requests apart by what they ask: equal for each try of one request, whoever
-/// sends it and wherever it arrives.
+/// Digest of the content of a request.
+///
+/// All attempts of a request have the same digest, regardless of the sender and of the
+/// instance that receives them.
 ///
-/// 128 bits: of a billion requests two share one with a chance of 1 in 10^21.
+/// With 128 bits, the probability of a collision among a billion requests is about 1 in
+/// 10^21.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestDigest(u128);
 
 impl RequestDigest {
-    /// The digest of a request.
+    /// Computes the digest of a request.
     pub fn of(method: &str, host: &str, uri: &str, body: &[u8]) -> Self {
         let mut hasher = xxh3::Xxh3::new();
         for part in [method.as_bytes(), host.as_bytes(), uri.as_bytes(), body] {
-            // With its length, so that what ends one part cannot begin the next.
+            // The length prefix keeps different splits of the same bytes distinct.
             hasher.update(&(part.len() as u64).to_le_bytes());
             hasher.update(part);
         }
--- a/src/invariant.rs
+++ b/src/invariant.rs
@@ -1,4 +1,4 @@
-//! Invariants asserted inside the program: counted always, fatal where asked.
+//! Runtime invariant checks: violations are always counted and optionally fatal.
 
 use std::{
     collections,
@@ -9,15 +9,16 @@
     sync::Mutex::new(collections::BTreeMap::new());
 static COUNT_ONLY: atomic::AtomicBool = atomic::AtomicBool::new(false);
 
-/// Makes a broken invariant be counted only, also in builds with debug assertions.
+/// Sets whether violations are only counted, even in builds with debug assertions.
 pub fn count_only(on: bool) {
     COUNT_ONLY.store(on, atomic::Ordering::Relaxed);
 }
 
-/// Asserts that the invariant `name` holds.
+/// Checks the invariant `name`; counts and logs a violation.
 ///
 /// # Panics
-/// It does not hold, the build has debug assertions, and [`count_only`] is off.
+/// Panics if the invariant does not hold, the build has debug assertions, and
+/// [`count_only`] is off.
 pub fn check(name: &'static str, holds: bool) {
     if holds {
         return;
@@ -30,7 +31,7 @@
     assert!(!fatal, "the invariant {name} is broken");
 }
 
-/// How often each invariant was broken since the start.
+/// Returns the number of violations of each invariant since the process started.
 pub fn broken() -> collections::BTreeMap<&'static str, u64> {
     BROKEN.lock().unwrap_or_else(|e| e.into_inner()).clone()
 }
--- a/src/job_store.rs
+++ b/src/job_store.rs
@@ -1,4 +1,4 @@
-//! Jobs and their chunks as gateways and dispatchers both read them.
+//! Access to stored jobs and chunks, shared by gateways and dispatchers.
 
 use std::collections;
 
@@ -9,15 +9,17 @@
     platform, store,
 };
 
-/// Key of a chunk of a file.
+/// Returns the object key of a chunk of a file.
 pub fn chunk_key(file: &ids::FileId, chunk: ids::ChunkIndex) -> String {
     format!("filechunk/{file}/{chunk}")
 }
 
-/// States of a job's chunks, by their index.
+/// Reads the states of a job's chunks, by chunk index.
+///
+/// Logs and skips objects with an invalid key or value.
 ///
 /// # Errors
-/// The object service cannot be reached.
+/// Returns an error if the chunks cannot be listed.
 pub async fn read_chunks(
     store: &dyn store::ObjectStore,
     id: &ids::JobId,
@@ -34,7 +36,7 @@
     Ok(items.iter().filter_map(read).collect())
 }
 
-/// Items by outcome over the chunks of a job.
+/// Sums the item counts, by outcome, over a job's chunks.
 pub fn sum_counts<'a>(
     total: u32,
     chunks: impl Iterator<Item = &'a chunk::ChunkState>,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,4 +1,4 @@
-//! jayhollow serves online and batch inference on one fleet of model endpoints.
+//! Online and batch inference on a shared fleet of model endpoints.
 pub mod batch_item;
 pub mod bench;
 pub mod bundle;
--- a/src/local_fleet.rs
+++ b/src/local_fleet.rs
@@ -1,6 +1,6 @@
-//! A fleet in one process on loopback: stand-ins, dispatchers, gateways.
+//! Fleet of stand-ins, dispatchers and gateways in one process, on the loopback interface.
 //!
-//! `jayhollow dev` and the benches run on it.
+//! Used by `jayhollow dev` and the benchmarks.
 
 use std::{fs, io, net, path, time};
 
@@ -10,49 +10,49 @@
     dispatcher, fleet, gateway, http_server, ids, link, platform, settings, standin,
 };
 
-/// API key of the fleet's workspace.
+/// API key of the local workspace.
 pub const CALLER_KEY: &str = "dev-key";
-/// Operator's key of the fleet.
+/// Operator key of the local fleet.
 pub const OPERATOR_KEY: &str = "dev-operator-key";
 /// Name of the model that the fleet serves.
 pub const MODEL: &str = "demo-model";
 /// Name of the plain service that the fleet serves.
 pub const SERVICE: &str = "demo-service";
-/// Longest wait until everything is ready.
+/// Maximum wait for the fleet to become ready, applied to each startup step.
 const READY_TIMEOUT: time::Duration = time::Duration::from_secs(30);
-/// Port that the kernel chooses, on loopback.
+/// Loopback address with a port chosen by the kernel.
 const ANY_PORT: &str = "127.0.0.1:0";
 
-/// How large a fleet is and how it behaves.
+/// Size and behaviour of a local fleet.
 #[derive(Clone)]
 pub struct LocalFleetSpec {
-    /// Where the first gateway listens for callers.
+    /// Address on which the first gateway listens for callers.
     pub listen: net::SocketAddr,
-    /// Folder that keeps the objects over restarts.
+    /// Directory in which objects persist across restarts, if any.
     pub data: Option<path::PathBuf>,
-    /// Gateways.
+    /// Number of gateways.
     pub gateways: usize,
-    /// Dispatchers.
+    /// Number of dispatchers.
     pub dispatchers: usize,
-    /// Model engines.
+    /// Number of model engines.
     pub engines: usize,
-    /// Replicas of the plain service.
+    /// Number of replicas of the plain service.
     pub plains: usize,
-    /// Failure domains that all of them are spread over.
+    /// Number of failure domains across which processes and endpoints are spread.
     pub domains: usize,
-    /// How the engines behave.
+    /// Options of the stand-in engines.
     pub engine: standin::engine_terms::EngineOptions,
-    /// How dispatchers run batch work.
+    /// Batch settings of the dispatchers.
     pub batch: settings::dispatcher::BatchSettings,
-    /// Fixes the policy of batch work at engines.
+    /// Batch policy at engines, if fixed.
     pub policy: Option<admission::BatchPolicy>,
-    /// How gateways find endpoints.
+    /// Online settings of the gateways.
     pub online: settings::gateway::OnlineSettings,
-    /// Threads of each gateway that answer callers.
+    /// Number of worker threads of each gateway.
     pub workers: usize,
-    /// How often daemons look and show themselves.
+    /// Polling and heartbeat intervals of the daemons.
     pub pace: settings::common::PaceSettings,
-    /// The first bundle.
+    /// Initial bundle.
     pub bundle: bundle::BundleDocument,
 }
 
@@ -78,19 +78,19 @@
 }
 
 impl LocalFleetSpec {
-    /// The same fleet under another routing policy.
+    /// Sets the routing policy.
     pub fn with_routing(mut self, policy: routing::RoutePolicy) -> Self {
         self.online.routing = policy;
         self
     }
 }
 
-/// The address at which the kernel chooses a port.
+/// Returns the loopback address with a port chosen by the kernel.
 pub fn any_port() -> net::SocketAddr {
     ANY_PORT.parse().expect("the address is valid")
 }
 
-/// Quick paces, as everything is on one machine.
+/// Returns short intervals, which are affordable because everything runs on one machine.
 fn quick_pace() -> settings::common::PaceSettings {
     settings::common::PaceSettings {
         heartbeat_ms: 1_000,
@@ -100,7 +100,7 @@
     }
 }
 
-/// A bundle with one model, one plain service and one workspace.
+/// Returns a bundle with one model, one plain service and one workspace.
 pub fn local_bundle() -> bundle::BundleDocument {
     bundle::BundleDocument {
         models: vec![bundle::ModelSpec {
@@ -126,30 +126,31 @@
     }
 }
 
-/// A running fleet.
+/// Running local fleet.
 pub struct LocalFleet {
-    /// Where the object service listens.
+    /// Address of the object service.
     pub objects: net::SocketAddr,
-    /// Where the engines listen.
+    /// Addresses of the engines.
     pub engines: Vec<net::SocketAddr>,
-    /// The gateways.
+    /// Running gateways.
     pub gateways: Vec<gateway::GatewayDaemon>,
-    /// The dispatchers.
+    /// Running dispatchers.
     pub dispatchers: Vec<dispatcher::DispatcherDaemon>,
     standins: Vec<http_server::ServerGuard>,
 }
 
-/// Stand-ins that run, and what is listed of them.
+/// Running stand-ins and their endpoint records.
 struct StartedStandins {
     guards: Vec<http_server::ServerGuard>,
     records: Vec<platform::EndpointRecord>,
 }
 
 impl LocalFleet {
-    /// Starts a fleet and puts its first bundle in force.
+    /// Starts a fleet and activates its initial bundle.
     ///
     /// # Errors
-    /// An address cannot be bound, a thread cannot be started, or the fleet is not ready in time.
+    /// Returns an error if an address cannot be bound, a thread cannot be started, the bundle
+    /// is rejected, or the fleet does not become ready in time.
     pub fn start(spec: &LocalFleetSpec) -> io::Result<Self> {
         let mut standins = start_endpoints(spec)?;
         let engine = |r: &&platform::EndpointRecord| r.kind == platform::EndpointKind::Engine;
@@ -192,18 +193,19 @@
         Ok(fleet)
     }
 
-    /// Puts the first bundle in force and waits until all daemons have it and each other.
+    /// Activates the initial bundle unless there is one, and waits until all daemons have a
+    /// bundle, endpoints and the full member list.
     fn make_ready(&self, document: &bundle::BundleDocument) -> io::Result<()> {
         actix_rt::System::new().block_on(async {
-            let view = &self.gateways[0].context.fleet;
-            view.wait_synced(READY_TIMEOUT).await;
-            if view.snapshot().bundle.generation == bundle::BundleGeneration(0) {
+            let handle = &self.gateways[0].context.fleet;
+            handle.wait_synced(READY_TIMEOUT).await;
+            if handle.snapshot().bundle.generation == bundle::BundleGeneration(0) {
                 self.submit_bundle(document).await?;
             }
             let deadline = time::Instant::now() + READY_TIMEOUT;
             while !self.is_ready() {
                 if time::Instant::now() >= deadline {
-                    return Err(io::Error::other("the fleet was not ready in time"));
+                    return Err(io::Error::other("the fleet did not become ready in time"));
                 }
                 actix_rt::time::sleep(time::Duration::from_millis(20)).await;
             }
@@ -213,8 +215,8 @@
 
     fn is_ready(&self) -> bool {
         let instances = self.gateways.len() + self.dispatchers.len();
-        let ready = |view: &fleet::FleetHandle| {
-            let snapshot = view.snapshot();
+        let ready = |handle: &fleet::FleetHandle| {
+            let snapshot = handle.snapshot();
             snapshot.bundle.generation > bundle::BundleGeneration(0)
                 && !snapshot.endpoints.is_empty()
                 && snapshot.instances.len() == instances
@@ -223,10 +225,10 @@
         gateways && self.dispatchers.iter().all(|d| ready(&d.context.fleet))
     }
 
-    /// Proposes a bundle and signs it off.
+    /// Submits a bundle as a draft and approves it.
     ///
     /// # Errors
-    /// The gateway refuses it.
+    /// Returns an error if the gateway cannot be reached or rejects the bundle.
     pub async fn submit_bundle(&self, document: &bundle::BundleDocument) -> io::Result<()> {
         let client = cli::client::ApiClient::new(&self.profile(OPERATOR_KEY));
         let document = serde_json::to_vec(document).map_err(io::Error::other)?;
@@ -241,12 +243,12 @@
         Ok(())
     }
 
-    /// Where callers reach the first gateway.
+    /// Returns the address of the first gateway.
     pub fn address(&self) -> net::SocketAddr {
         self.gateways[0].address
     }
 
-    /// How the command line reaches the first gateway with a key.
+    /// Returns the command-line profile for the first gateway with an API key.
     pub fn profile(&self, key: &str) -> cli::GatewayProfile {
         cli::GatewayProfile {
             url: format!("http://{}", self.address()),
@@ -256,10 +258,10 @@
         }
     }
 
-    /// Stops everything, the gateways first.
+    /// Stops the gateways, then the dispatchers, then the stand-ins.
     ///
     /// # Errors
-    /// A server's thread ended with an error.
+    /// Returns an error if a daemon or server does not stop cleanly.
     pub fn stop(self) -> io::Result<()> {
         for gateway in &self.gateways {
             gateway.context.begin_stop();
--- a/src/log_error.rs
+++ b/src/log_error.rs
@@ -1,10 +1,10 @@
-//! Errors that end where they are: each leaves a line that says why.
+//! Logging of errors that are handled locally instead of being returned.
 
 use std::fmt;
 
-/// A result whose error is noted instead of passed on.
+/// Extension trait for results whose error is logged instead of returned.
 pub trait LogError<T> {
-    /// The value, or nothing after a line named `event` with the reason.
+    /// Returns the value, or logs the error as a warning named `event` and returns `None`.
     fn ok_or_log(self, event: &str) -> Option<T>;
 }
 
--- a/src/log_setup.rs
+++ b/src/log_setup.rs
@@ -1,10 +1,10 @@
-//! Log output: one line of key=value pairs for each event.
+//! Log output, with one line of key=value pairs per event.
 
 use std::{io, sync::atomic, thread, time};
 
-/// Lines that may wait for the output.
-const RING_LINES: usize = 4096;
-/// Lines a second at most; a line costs about 10 µs of processor time.
+/// Capacity of the channel to the writer thread, in lines.
+const CHANNEL_LINES: usize = 4096;
+/// Maximum number of lines per second; a line costs about 10 µs of CPU time.
 const LINES_PER_SECOND: u32 = 400;
 
 fn config() -> simplelog::Config {
@@ -17,20 +17,20 @@
         .build()
 }
 
-/// Starts the log on standard error.
+/// Starts logging to standard error.
 ///
-/// A second call changes nothing, so that tests may start several daemons.
+/// Further calls have no effect, so that tests can start several daemons.
 pub fn start(level: log::LevelFilter) {
     let _ = simplelog::WriteLogger::init(level, config(), io::stderr());
 }
 
-/// Starts the log on standard output, bounded in lines and never waiting.
+/// Starts non-blocking, rate-limited logging to standard output.
 ///
-/// Lines beyond the bound of a second, or beyond what the output takes, are
-/// dropped and counted; the count follows in a line of its own.
+/// Lines that exceed the rate limit or that the output cannot accept are dropped and
+/// counted; a later line reports the count.
 pub fn start_bounded(level: log::LevelFilter) {
-    let (sender, receiver) = crossbeam_channel::bounded::<Vec<u8>>(RING_LINES);
-    let ring = LineRing {
+    let (sender, receiver) = crossbeam_channel::bounded::<Vec<u8>>(CHANNEL_LINES);
+    let writer = LineWriter {
         sender,
         line: Vec::new(),
         second: time::Instant::now(),
@@ -41,16 +41,16 @@
         .spawn(move || write_lines(&receiver, &mut io::stdout()));
     match spawned {
         Ok(_) => {
-            let _ = simplelog::WriteLogger::init(level, config(), ring);
+            let _ = simplelog::WriteLogger::init(level, config(), writer);
         }
         Err(_) => start(level),
     }
 }
 
-/// Writes lines until their senders are gone.
+/// Writes lines until all senders are dropped.
 ///
-/// An output that fails once may take the next line: a full disk is emptied, and a
-/// collector that is slow takes lines again. What it does not take is counted.
+/// Continues after a write error, because the output may recover, for example when disk
+/// space is freed or a slow collector catches up. Lines that fail are counted as dropped.
 pub fn write_lines(lines: &crossbeam_channel::Receiver<Vec<u8>>, output: &mut impl io::Write) {
     while let Ok(line) = lines.recv() {
         let written = output.write_all(&line).and_then(|()| output.flush());
@@ -60,26 +60,26 @@
     }
 }
 
-/// Lines that were dropped and not yet told.
+/// Number of dropped lines that have not been reported yet.
 static DROPPED: atomic::AtomicU64 = atomic::AtomicU64::new(0);
 
-/// Hands whole lines to the thread that writes them.
-struct LineRing {
+/// Writer that passes complete lines to the writer thread.
+struct LineWriter {
     sender: crossbeam_channel::Sender<Vec<u8>>,
     line: Vec<u8>,
     second: time::Instant,
     lines: u32,
 }
 
-impl LineRing {
+impl LineWriter {
     fn send(&mut self, line: Vec<u8>) {
         if self.second.elapsed() >= time::Duration::from_secs(1) {
             self.second = time::Instant::now();
             self.lines = 0;
             let dropped = DROPPED.swap(0, atomic::Ordering::Relaxed);
             if dropped > 0 {
-                let told = format!("event=log_lines_dropped count={dropped}\n");
-                let _ = self.sender.try_send(told.into_bytes());
+                let notice = format!("event=log_lines_dropped count={dropped}\n");
+                let _ = self.sender.try_send(notice.into_bytes());
             }
         }
         self.lines += 1;
@@ -90,7 +90,7 @@
     }
 }
 
-impl io::Write for LineRing {
+impl io::Write for LineWriter {
     fn write(&mut self, data: &[u8]) -> io::Result<usize> {
         self.line.extend_from_slice(data);
         if self.line.last() == Some(&b'\n') {
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms, with a bound on the number of label values.
+//! Prometheus metrics, with a limit on the number of workspace labels.
 
 use std::{collections, sync, time};
 
@@ -6,74 +6,74 @@
 
 use crate::invariant;
 
-/// Workspaces that have series of their own; the others share `other`.
+/// Maximum number of workspaces with their own label; all others share `other`.
 pub const MAX_WORKSPACE_LABELS: usize = 200;
-/// Label of the workspaces beyond the bound.
+/// Label of the workspaces beyond the limit.
 const OTHER_LABEL: &str = "other";
 
-/// Upper bounds of the histograms' buckets, in seconds.
+/// Upper bounds of the histogram buckets, in seconds.
 const SECONDS: &[f64] = &[
     0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0, 120.0,
 ];
 
-/// All metrics of a process.
+/// Set of all metrics of a process.
 pub struct MetricSet {
     registry: prometheus::Registry,
     labels: sync::Mutex<collections::HashSet<String>>,
-    /// Seconds to the first token, by workspace and class.
+    /// Time to the first token in seconds, by workspace and class.
     pub first_token: prometheus::HistogramVec,
-    /// Seconds between tokens, by workspace and class.
+    /// Time between tokens in seconds, by workspace and class.
     pub between_tokens: prometheus::HistogramVec,
-    /// Seconds to the whole answer, by workspace and class.
+    /// Time to the complete response in seconds, by workspace and class.
     pub full_response: prometheus::HistogramVec,
-    /// Seconds from arrival to the first attempt, by workspace and class.
+    /// Time from arrival to the first attempt in seconds, by workspace and class.
     pub queue_time: prometheus::HistogramVec,
-    /// Answers by status code of the error shape, or `ok`.
+    /// Responses, by error code or `ok`.
     pub responses: prometheus::IntCounterVec,
-    /// Attempts by how they ended.
+    /// Attempts, by outcome.
     pub attempts: prometheus::IntCounterVec,
     /// Attempts that did not run, by reason.
     pub refusals: prometheus::IntCounterVec,
-    /// Runs of requests under which their endpoint ended, by what shows it.
+    /// Request runs during which the endpoint ended, by evidence.
     pub ended_runs: prometheus::IntCounterVec,
-    /// Objects of the store that could not be read.
+    /// Store objects that could not be read.
     pub unreadable_objects: prometheus::IntGauge,
-    /// Permit requests by how they ended.
+    /// Permit requests, by outcome.
     pub permits: prometheus::IntCounterVec,
-    /// Calls to the object service by class.
+    /// Calls to the object service, by class.
     pub store_calls: prometheus::IntCounterVec,
-    /// Calls to the object service that failed, by kind.
+    /// Failed calls to the object service, by kind of error.
     pub store_errors: prometheus::IntCounterVec,
-    /// Batch items by how they ended.
+    /// Batch items, by outcome.
     pub batch_items: prometheus::IntCounterVec,
-    /// Batch streams cancelled for online requests.
+    /// Batch streams cancelled in favour of online requests.
     pub preempted: prometheus::IntCounter,
     /// Messages dropped because their sender did not know the link secret.
     pub strangers: prometheus::IntCounter,
-    /// Connections that ended without a whole head of a request.
+    /// Connections that ended without a complete request head.
     pub unserved: prometheus::IntCounter,
-    /// Answers discarded because they belonged to another attempt.
+    /// Responses discarded because they belonged to another attempt.
     pub crossed: prometheus::IntCounter,
-    /// Broken invariants, by name.
+    /// Invariant violations, by name.
     pub broken_invariants: prometheus::IntCounterVec,
-    /// Views asked of peers, by what and whether they came.
+    /// State snapshots requested from peers, by outcome.
     pub view_reads: prometheus::IntCounterVec,
-    /// Bytes of desired states that came from peers, encoded.
+    /// Encoded size of desired states received from peers, in bytes.
     pub state_bytes: prometheus::IntCounter,
-    /// Generation of the bundle in use.
+    /// Generation of the active bundle.
     pub bundle_generation: prometheus::IntGauge,
-    /// Version of the desired state in force.
+    /// Version of the active desired state.
     pub state_version: prometheus::IntGauge,
-    /// Requests rejected for their key or the limit of their workspace, by reason.
+    /// Requests rejected because of their key or workspace limit, by reason.
     pub rejected: prometheus::IntCounterVec,
-    /// Deposits with the pools of this process, by what came of them.
+    /// Deposits to the token pools of this process, by outcome.
     pub limit_deposits: prometheus::IntCounterVec,
-    /// Places at owned endpoints that somebody has, by what for.
+    /// Held slots at owned endpoints, by class.
     pub held_slots: prometheus::IntGaugeVec,
 }
 
 fn register<C: Collector + Clone + 'static>(registry: &prometheus::Registry, metric: C) -> C {
-    // Names are constants of this file: a clash is a fault of the program.
+    // Names are constants in this file, so a duplicate is a programming error.
     registry
         .register(Box::new(metric.clone()))
         .expect("metric names differ");
@@ -204,7 +204,7 @@
 }
 
 impl MetricSet {
-    /// The label of a workspace: its name, or `other` beyond the bound.
+    /// Returns the label of a workspace: its name, or `other` beyond the limit.
     pub fn workspace_label<'a>(&self, workspace: &'a str) -> &'a str {
         let mut labels = self.labels.lock().unwrap_or_else(|e| e.into_inner());
         if labels.contains(workspace) {
@@ -217,7 +217,7 @@
         workspace
     }
 
-    /// Adds a time to a histogram of a workspace and class.
+    /// Records a duration in a histogram, by workspace and class.
     pub fn observe(
         &self,
         histogram: &prometheus::HistogramVec,
@@ -231,7 +231,7 @@
             .observe(duration.as_secs_f64());
     }
 
-    /// All metrics in the text form that Prometheus reads.
+    /// Encodes all metrics in the Prometheus text format.
     pub fn render(&self) -> String {
         for (name, count) in invariant::broken() {
             let counter = self.broken_invariants.with_label_values(&[name]);
--- a/src/outcome.rs
+++ b/src/outcome.rs
@@ -1,26 +1,26 @@
-//! How one attempt of a request ended.
+//! Outcome of one attempt of a request.
 //!
-//! [`NotRunProof`] can only be made from evidence, so a false "not run" cannot
-//! be written elsewhere.
+//! A [`NotRunProof`] can be created only by the functions of this module, one for each
+//! kind of evidence, so that other code cannot construct "not run" without evidence.
 
 use std::fmt;
 
 use crate::error;
 
-/// Evidence that an attempt did not run.
+/// Proof that an attempt did not run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct NotRunProof(NotRunReason);
 
-/// Why an attempt cannot have run.
+/// Reason why an attempt cannot have run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NotRunReason {
-    /// No connection was made.
+    /// No connection was established.
     NeverConnected,
-    /// The endpoint refused it.
+    /// The endpoint rejected the attempt.
     RefusedByEndpoint,
-    /// Another endpoint than the expected one was there, and refused it.
+    /// A different endpoint was at the address and rejected the attempt.
     OtherEndpoint,
-    /// It was given up before it was handed to a connection.
+    /// The attempt was abandoned before it was passed to a connection.
     NeverSent,
 }
 
@@ -36,7 +36,7 @@
 }
 
 impl NotRunProof {
-    /// No connection was made, so no byte was sent.
+    /// Returns a proof if no connection was established, so that no byte was sent.
     pub fn never_connected(error: &awc::error::SendRequestError) -> Option<Self> {
         match error {
             awc::error::SendRequestError::Connect(awc::error::ConnectError::Disconnected) => None,
@@ -45,52 +45,53 @@
         }
     }
 
-    /// No connection was made, so no byte was sent.
+    /// Returns a proof if no connection was established, so that no byte was sent.
     pub fn no_connection(_: &std::io::Error) -> Self {
         Self(NotRunReason::NeverConnected)
     }
 
-    /// The endpoint's own word, as an adapter of its wire reads it.
+    /// Creates a proof from a rejection by the endpoint, as decoded by a protocol adapter.
     pub fn refused_by_endpoint() -> Self {
         Self(NotRunReason::RefusedByEndpoint)
     }
 
-    /// The word of another endpoint, which has the address of the expected one.
+    /// Creates a proof from a rejection by a different endpoint at the expected address.
     pub fn refused_by_other() -> Self {
         Self(NotRunReason::OtherEndpoint)
     }
 
-    /// The endpoint's own word in the header [`crate::wire::RAN_HEADER`].
+    /// Returns a proof if the header [`crate::wire::RAN_HEADER`] reports that the endpoint
+    /// rejected the attempt before running it.
     pub fn refused_by(ran_header: Option<&str>) -> Option<Self> {
         (ran_header == Some("no")).then_some(Self(NotRunReason::RefusedByEndpoint))
     }
 
-    /// The attempt was given up before it was handed to a connection.
+    /// Creates a proof for an attempt abandoned before it was passed to a connection.
     pub fn never_sent() -> Self {
         Self(NotRunReason::NeverSent)
     }
 
-    /// Why it cannot have run.
+    /// Returns the reason why the attempt cannot have run.
     pub fn reason(&self) -> NotRunReason {
         self.0
     }
 }
 
-/// How an attempt ended.
+/// Outcome of an attempt.
 #[derive(Debug)]
 pub enum AttemptOutcome<T> {
-    /// The whole answer, checked to belong to the attempt.
+    /// The attempt completed, and the response was checked to belong to it.
     Completed(T),
-    /// It did not run.
+    /// The attempt did not run.
     NotRun(NotRunProof),
-    /// The endpoint answered that it failed.
+    /// The endpoint reported a failure.
     Failed(String),
-    /// It may have run.
+    /// The attempt may have run.
     Unknown(String),
 }
 
 impl<T> AttemptOutcome<T> {
-    /// Whether another attempt is allowed for a request that is `repeatable` or not.
+    /// Returns whether another attempt is allowed, given whether the request is `repeatable`.
     pub fn may_retry(&self, repeatable: bool) -> bool {
         match self {
             Self::Completed(_) => false,
@@ -99,7 +100,7 @@
         }
     }
 
-    /// The final answer to give for the attempt, if it is not a success.
+    /// Converts the outcome into the result for the caller if there is no further attempt.
     pub fn into_result(self) -> error::ApiResult<T> {
         match self {
             Self::Completed(value) => Ok(value),
--- a/src/platform.rs
+++ b/src/platform.rs
@@ -1,49 +1,49 @@
-//! Messages of the platform's protocol: objects, watches, the list of endpoints.
+//! Messages of the platform protocol: objects, watches and the list of endpoints.
 
 use crate::ids;
 
-/// One object as a list or a watch tells it.
+/// Object state in a list or watch response.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct ObjectChange {
     /// Key of the object.
     pub key: String,
-    /// Revision of the store at which it last changed.
+    /// Store revision at which the object last changed.
     pub revision: u64,
-    /// The value, or nothing if the object was removed.
+    /// Value, or `None` if the object was removed.
     pub value: Option<String>,
 }
 
-/// Answer of a watch: all that changed up to `revision`.
+/// Response to a watch, with all changes up to `revision`.
 #[derive(Debug, Clone, Default, serde::Serialize, serde::Deserialize)]
 pub struct WatchResponse {
-    /// Revision to go on from.
+    /// Revision from which to continue the watch.
     pub revision: u64,
-    /// Changes in the order of their revisions.
+    /// Changes in revision order.
     pub changes: Vec<ObjectChange>,
 }
 
-/// One page of a list.
+/// Page of a list.
 #[derive(Debug, Clone, Default, serde::Serialize, serde::Deserialize)]
 pub struct ListResponse {
-    /// Objects in the order of their keys.
+    /// Objects in key order.
     pub items: Vec<ObjectChange>,
-    /// Whether there are more after the last key.
+    /// Whether more objects follow the last key.
     pub more: bool,
 }
 
-/// Whether an endpoint is to get work.
+/// Availability of an endpoint for new work.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize, schemars::JsonSchema,
 )]
 #[serde(rename_all = "snake_case")]
 pub enum EndpointState {
-    /// The endpoint serves.
+    /// The endpoint accepts work.
     Live,
-    /// The endpoint is about to leave and gets no new work.
+    /// The endpoint is draining and receives no new work.
     Leaving,
 }
 
-/// What an endpoint is.
+/// Kind of an endpoint.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize, schemars::JsonSchema,
 )]
@@ -55,22 +55,22 @@
     Plain,
 }
 
-/// One line of the platform's list of endpoints.
+/// Entry in the platform's list of endpoints.
 #[derive(
     Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize, schemars::JsonSchema,
 )]
 #[serde(deny_unknown_fields)]
 pub struct EndpointRecord {
-    /// Name of the endpoint.
+    /// Endpoint identifier.
     pub id: ids::EndpointId,
-    /// Model or plain service that it serves.
+    /// Model or plain service that the endpoint serves.
     pub service: ids::ServiceName,
-    /// What it is.
+    /// Kind of the endpoint.
     pub kind: EndpointKind,
-    /// IP number and port.
+    /// IP address and port.
     pub address: std::net::SocketAddr,
-    /// Failure domain that it is in.
+    /// Failure domain of the endpoint.
     pub domain: ids::DomainName,
-    /// Whether it is to get work.
+    /// Availability for new work.
     pub state: EndpointState,
 }
--- a/src/settle.rs
+++ b/src/settle.rs
@@ -1,4 +1,4 @@
-//! Writes whose lost answers are settled by reading the object back.
+//! Writes whose outcome, if unknown, is resolved by reading the object back.
 
 use std::time;
 
@@ -6,21 +6,21 @@
 
 use crate::{decisions::call_budget, protection, store};
 
-/// How a settled write ended.
+/// Known outcome of a write.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SettledWrite {
-    /// It took effect, now or in a try whose answer was lost.
+    /// The write took effect, in the last try or in an earlier one whose response was lost.
     Done(store::ObjectRevision),
-    /// Another write came first; this is what there is now, if anything.
+    /// The precondition no longer holds; contains the current object, if any.
     Lost(Option<store::VersionedObject>),
 }
 
-/// Shortest pause between tries.
+/// Initial delay between tries, before jitter.
 const INITIAL_DELAY: time::Duration = time::Duration::from_millis(50);
-/// Longest pause between tries.
+/// Maximum delay between tries.
 const MAX_DELAY: time::Duration = time::Duration::from_secs(5);
 
-/// A pause that doubles, with jitter so that a fleet does not return as a herd.
+/// Exponential backoff with jitter, so that processes do not all retry at the same time.
 #[derive(Debug, Clone)]
 pub struct JitteredBackoff {
     delay: time::Duration,
@@ -37,7 +37,7 @@
 }
 
 impl JitteredBackoff {
-    /// The next pause: between half and all of a span that doubles each time.
+    /// Returns the next delay: 50 to 100 % of a duration that doubles up to the maximum.
     pub fn next_delay(&mut self) -> time::Duration {
         let duration = self.delay;
         self.delay = (self.delay * 2).min(self.last);
@@ -45,14 +45,14 @@
     }
 }
 
-/// Writes an object whose value names its writer, until the outcome is known.
+/// Writes an object, retrying until the outcome is known.
 ///
-/// `value` must differ from every other writer's value for the key, so that a
-/// read tells whether an earlier try took effect. Gives up at `deadline`.
+/// `value` must identify its writer and differ from every other writer's value for the
+/// key, so that a read shows whether an earlier try took effect. Gives up at `deadline`.
 ///
 /// # Errors
-/// The outcome is still not known at `deadline`: [`store::StoreError::Unknown`]
-/// if any try may have taken effect. Or the value is too large.
+/// Returns an error if the value is too large or if the outcome is still unknown at
+/// `deadline`; [`store::StoreError::Unknown`] if any try may have taken effect.
 pub async fn put(
     store: &dyn store::ObjectStore,
     class: call_budget::CallClass,
@@ -70,7 +70,7 @@
             Err(e @ store::StoreError::TooLarge) => return Err(e),
             Err(e) => e,
         };
-        // A conflict may be with our own earlier try.
+        // A conflict may be caused by an earlier try of this write.
         let unclear = matches!(
             error,
             store::StoreError::Conflict | store::StoreError::Unknown
@@ -89,7 +89,7 @@
         }
         let delay = backoff.next_delay();
         if time::Instant::now() + delay >= deadline {
-            // A refusal of the last try says nothing of the ones before.
+            // An error of the last try does not show whether an earlier one took effect.
             return Err(match may_have_taken_effect {
                 true => store::StoreError::Unknown,
                 false => error,
@@ -110,10 +110,10 @@
     }
 }
 
-/// Removes an object until it is known to be gone.
+/// Removes an object, retrying until the removal is confirmed.
 ///
 /// # Errors
-/// The outcome is still not known at `deadline`.
+/// Returns the last error if the removal is still not confirmed at `deadline`.
 pub async fn remove(
     store: &dyn store::ObjectStore,
     class: call_budget::CallClass,
--- a/src/smoke.rs
+++ b/src/smoke.rs
@@ -1,4 +1,4 @@
-//! `jayhollow dev --smoke`: one call of each kind, each checked to the letter.
+//! `jayhollow dev --smoke`: one call of each kind, each with an exact check of the response.
 
 use std::{fmt::Write as _, time};
 
@@ -8,15 +8,15 @@
     standin::engine_model,
 };
 
-/// Tokens of each generated answer.
+/// Number of tokens of each generated response.
 const TOKENS: u32 = 12;
-/// Items of the batch job.
+/// Number of items of the batch job.
 const ITEMS: usize = 20;
 
-/// Runs the calls; prints a line for each.
+/// Runs all smoke tests and prints a line for each.
 ///
 /// # Errors
-/// A call went wrong.
+/// Returns an error if a smoke test failed.
 pub fn run(fleet: &local_fleet::LocalFleet) -> cli::CommandResult<()> {
     actix_rt::System::new().block_on(async {
         let client = client::ApiClient::new(&fleet.profile(local_fleet::CALLER_KEY));
@@ -28,7 +28,7 @@
         if all_right {
             return Ok(());
         }
-        Err(cli::CommandError::failed("a call went wrong"))
+        Err(cli::CommandError::failed("a smoke test failed"))
     })
 }
 
@@ -60,7 +60,7 @@
     .into_bytes()
 }
 
-/// The answer that the stand-in engines give to a message.
+/// Returns the response of the stand-in engines to a user message.
 pub fn expected_response(content: &str, tokens: u32) -> String {
     engine_model::answer_text(&format!("user\n{content}\n"), tokens)
 }
--- a/src/store.rs
+++ b/src/store.rs
@@ -1,4 +1,4 @@
-//! The border to the platform's object service.
+//! Interface to the platform's object service.
 
 use std::{fmt, time};
 
@@ -6,7 +6,7 @@
 
 use crate::{decisions::call_budget, platform};
 
-/// Version of an object: the store's revision at which it last changed.
+/// Version of an object: the store revision at which it last changed.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize,
 )]
@@ -26,78 +26,78 @@
     }
 }
 
-/// When a write is to take effect.
+/// Precondition of a write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WriteCondition {
-    /// The object does not exist.
+    /// The object must not exist.
     Absent,
-    /// The object is still at this revision.
+    /// The object must still be at this revision.
     Match(ObjectRevision),
-    /// Whatever there is.
+    /// The write is unconditional.
     Always,
 }
 
-/// An object and its version.
+/// Object value with its version.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct VersionedObject {
-    /// Its version.
+    /// Version of the object.
     pub revision: ObjectRevision,
-    /// Its value.
+    /// Value of the object.
     pub value: bytes::Bytes,
 }
 
 impl VersionedObject {
-    /// The value read as JSON.
+    /// Decodes the value from JSON.
     ///
     /// # Errors
-    /// The value is not what is expected.
+    /// Returns [`StoreError::Corrupt`] if the value cannot be decoded as `T`.
     pub fn decode<T: serde::de::DeserializeOwned>(&self) -> Result<T, StoreError> {
         serde_json::from_slice(&self.value).map_err(|e| StoreError::Corrupt(e.to_string()))
     }
 }
 
-/// The platform's list of endpoints at one revision.
+/// Platform's list of endpoints at one revision.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EndpointList {
-    /// Its revision.
+    /// Revision of the list.
     pub revision: ObjectRevision,
-    /// The endpoints.
+    /// Listed endpoints.
     pub endpoints: Vec<platform::EndpointRecord>,
 }
 
-/// Why a call to the object service gave no result.
+/// Error of a call to the object service.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum StoreError {
-    /// The condition of a write did not hold; nothing was changed.
+    /// The precondition of a write failed; nothing was changed.
     #[error("the object changed meanwhile")]
     Conflict,
-    /// A write was sent and its answer lost: it may have taken effect.
+    /// A write was sent but its outcome is unknown: it may have taken effect.
     #[error("the answer to a write was lost")]
     Unknown,
-    /// The call was refused or never sent; nothing was changed.
+    /// The call was rejected, was never sent, or is a read that failed; nothing was changed.
     #[error("the object service cannot be reached: {0}")]
     Unavailable(String),
-    /// The value is too large.
+    /// The value exceeds the size limit of the object service.
     #[error("the value is larger than the object service holds")]
     TooLarge,
-    /// The object holds something else than expected.
+    /// The object has unexpected content.
     #[error("an object cannot be read: {0}")]
     Corrupt(String),
 }
 
-/// Outcome of a call to the object service.
+/// Result of a call to the object service.
 pub type StoreResult<T> = Result<T, StoreError>;
 
-/// The platform's object service.
+/// Operations of the platform's object service.
 pub trait ObjectStore: Send + Sync {
-    /// Reads an object.
+    /// Reads an object; returns `None` if it does not exist.
     fn get(
         &self,
         class: call_budget::CallClass,
         key: &str,
     ) -> future::BoxFuture<'static, StoreResult<Option<VersionedObject>>>;
 
-    /// Writes an object if the condition holds.
+    /// Writes an object if the precondition holds, and returns its new revision.
     fn put(
         &self,
         class: call_budget::CallClass,
@@ -106,7 +106,7 @@
         condition: WriteCondition,
     ) -> future::BoxFuture<'static, StoreResult<ObjectRevision>>;
 
-    /// Removes an object if the condition holds.
+    /// Removes an object if the precondition holds.
     fn remove(
         &self,
         class: call_budget::CallClass,
@@ -114,14 +114,14 @@
         condition: WriteCondition,
     ) -> future::BoxFuture<'static, StoreResult<()>>;
 
-    /// One page of the objects under a prefix, after a key.
+    /// Lists one page of the objects under a prefix, after the key `after`.
     fn list(
         &self,
         prefix: &str,
         after: &str,
     ) -> future::BoxFuture<'static, StoreResult<platform::ListResponse>>;
 
-    /// Waits for changes under some prefixes after a revision.
+    /// Waits up to `wait` for changes under the prefixes after the revision `since`.
     fn watch(
         &self,
         prefixes: &[&str],
@@ -129,19 +129,19 @@
         wait: time::Duration,
     ) -> future::BoxFuture<'static, StoreResult<platform::WatchResponse>>;
 
-    /// The platform's lagging list of endpoints.
+    /// Reads the platform's list of endpoints, which may lag behind.
     ///
-    /// Gives nothing if it still is at the revision that is known.
+    /// Returns `None` if the list is still at the revision `known`.
     fn endpoints(
         &self,
         known: Option<ObjectRevision>,
     ) -> future::BoxFuture<'static, StoreResult<Option<EndpointList>>>;
 }
 
-/// All objects under a prefix, page by page.
+/// Reads all objects under a prefix, one page at a time.
 ///
 /// # Errors
-/// A page cannot be read.
+/// Returns an error if a page cannot be read or if paging makes no progress.
 pub async fn list_all(
     store: &dyn ObjectStore,
     prefix: &str,
@@ -152,7 +152,7 @@
         let page = store.list(prefix, &after).await?;
         items.extend(page.items);
         match items.last() {
-            // A page without anything readable names nothing to go on from.
+            // A page without new items provides no key from which to continue.
             Some(last) if page.more && last.key == after => {
                 return Err(StoreError::Corrupt(format!("no key after {after}")));
             }
@@ -162,8 +162,8 @@
     }
 }
 
-/// A value as the JSON that objects hold.
+/// Encodes a value as JSON for storage in an object.
 pub fn encode(value: &impl serde::Serialize) -> bytes::Bytes {
-    // Our own types hold no map with keys that JSON cannot have.
+    // The stored types contain no maps with keys that JSON cannot represent.
     serde_json::to_vec(value).map_or_else(|_| bytes::Bytes::new(), bytes::Bytes::from)
 }
--- a/src/store_client.rs
+++ b/src/store_client.rs
@@ -1,4 +1,4 @@
-//! Client of the object service: one thread, one budget, priorities, counters.
+//! Object service client with one thread, a call budget, priorities and metrics.
 
 use std::{sync, thread, time};
 
@@ -8,23 +8,23 @@
 
 use crate::{clock, decisions::call_budget, http_client, metrics, outcome, platform, store};
 
-/// Calls that may wait in the ring to the thread.
-const RING_CALLS: usize = 1024;
-/// Calls that may wait for the budget; further ones are refused at once.
-const BUDGET_CALLS: usize = 8192;
-/// Calls under way at once.
+/// Capacity of the channel to the client thread, in calls.
+const CHANNEL_CALLS: usize = 1024;
+/// Maximum number of calls that wait for the budget; further calls fail immediately.
+const MAX_QUEUED_CALLS: usize = 8192;
+/// Maximum number of concurrent calls.
 const MAX_CONCURRENT: usize = 64;
-/// Longest wait for an answer that is not a watch.
+/// Timeout of calls other than watches.
 const CALL_TIMEOUT: time::Duration = time::Duration::from_secs(3);
-/// Largest answer read, in bytes.
-const MAX_ANSWER_BYTES: usize = 16 << 20;
+/// Maximum size of a response body, in bytes.
+const MAX_RESPONSE_BYTES: usize = 16 << 20;
 
-/// How the object service is reached.
+/// Connection options for the object service.
 #[derive(Debug, Clone)]
 pub struct StoreOptions {
-    /// Base of its addresses, like `http://127.0.0.1:7070`.
+    /// Base URL, for example `http://127.0.0.1:7070`.
     pub url: String,
-    /// Calls a second that this process may make.
+    /// Maximum rate of calls by this process, per second.
     pub rate: call_budget::CallRate,
 }
 
@@ -35,17 +35,17 @@
     condition: store::WriteCondition,
     value: bytes::Bytes,
     timeout: time::Duration,
-    reply: oneshot::Sender<store::StoreResult<StoreAnswer>>,
+    reply: oneshot::Sender<store::StoreResult<StoreResponse>>,
 }
 
-struct StoreAnswer {
+struct StoreResponse {
     revision: Option<store::ObjectRevision>,
     body: bytes::Bytes,
     found: bool,
 }
 
-impl StoreAnswer {
-    /// What was read and its version, if there is anything new.
+impl StoreResponse {
+    /// Returns the object that was read, or `None` if it is missing or unchanged.
     fn into_object(self) -> Option<store::VersionedObject> {
         let revision = self.revision.filter(|_| self.found)?;
         let value = self.body;
@@ -53,29 +53,29 @@
     }
 }
 
-/// A handle to the thread that talks to the object service.
+/// Handle to the thread that calls the object service.
 ///
 /// The thread ends when the last handle is dropped.
 #[derive(Clone)]
 pub struct StoreClient {
-    ring: mpsc::Sender<StoreCall>,
+    sender: mpsc::Sender<StoreCall>,
 }
 
 impl StoreClient {
-    /// Starts the thread.
+    /// Starts the client thread.
     ///
     /// # Errors
-    /// The thread cannot be started.
+    /// Returns an error if the thread cannot be started.
     pub fn start(
         options: StoreOptions,
         clock: sync::Arc<dyn clock::MonotonicClock>,
         metrics: sync::Arc<metrics::MetricSet>,
     ) -> std::io::Result<Self> {
-        let (ring, calls) = mpsc::channel(RING_CALLS);
+        let (sender, calls) = mpsc::channel(CHANNEL_CALLS);
         thread::Builder::new().name("store".into()).spawn(move || {
             actix_rt::System::new().block_on(run(options, clock, metrics, calls));
         })?;
-        Ok(Self { ring })
+        Ok(Self { sender })
     }
 
     fn call(
@@ -86,7 +86,7 @@
         condition: store::WriteCondition,
         value: bytes::Bytes,
         timeout: time::Duration,
-    ) -> impl future::Future<Output = store::StoreResult<StoreAnswer>> + Send + 'static {
+    ) -> impl future::Future<Output = store::StoreResult<StoreResponse>> + Send + 'static {
         let (reply, response) = oneshot::channel();
         let call = StoreCall {
             class,
@@ -97,7 +97,7 @@
             timeout,
             reply,
         };
-        let queued = self.ring.try_send(call);
+        let queued = self.sender.try_send(call);
         async move {
             if queued.is_err() {
                 return Err(unavailable("too many calls wait"));
@@ -110,7 +110,7 @@
         &self,
         path: String,
         timeout: time::Duration,
-    ) -> impl future::Future<Output = store::StoreResult<StoreAnswer>> + Send + 'static {
+    ) -> impl future::Future<Output = store::StoreResult<StoreResponse>> + Send + 'static {
         let class = call_budget::CallClass::Read;
         let condition = store::WriteCondition::Always;
         self.call(
@@ -129,7 +129,7 @@
 }
 
 fn decode<T: serde::de::DeserializeOwned>(
-    response: store::StoreResult<StoreAnswer>,
+    response: store::StoreResult<StoreResponse>,
 ) -> store::StoreResult<T> {
     serde_json::from_slice(&response?.body).map_err(|e| store::StoreError::Corrupt(e.to_string()))
 }
@@ -211,7 +211,7 @@
         &self,
         known: Option<store::ObjectRevision>,
     ) -> future::BoxFuture<'static, store::StoreResult<Option<store::EndpointList>>> {
-        // A read under a condition: it holds unless the list is at the known revision.
+        // For a read, `Match` means `if-none-match`: the list is sent only if it has changed.
         let condition = known.map_or(store::WriteCondition::Always, store::WriteCondition::Match);
         let call = self.call(
             call_budget::CallClass::Read,
@@ -241,7 +241,7 @@
         .finish()
 }
 
-/// The thread's loop: queues calls, and sends each when the budget lets it.
+/// Runs the client thread: queues calls and sends each when the budget allows it.
 async fn run(
     options: StoreOptions,
     clock: sync::Arc<dyn clock::MonotonicClock>,
@@ -249,7 +249,7 @@
     mut calls: mpsc::Receiver<StoreCall>,
 ) {
     let client = http_client::new_client(MAX_CONCURRENT * 2);
-    let mut budget = call_budget::CallBudget::new(options.rate, BUDGET_CALLS, clock.now());
+    let mut budget = call_budget::CallBudget::new(options.rate, MAX_QUEUED_CALLS, clock.now());
     let slots = sync::Arc::new(tokio::sync::Semaphore::new(MAX_CONCURRENT));
     loop {
         match budget.next(clock.now()) {
@@ -262,7 +262,7 @@
                     sending.await;
                     drop(slot);
                 });
-                // Calls that came meanwhile may have a better claim on the next turn.
+                // Calls that arrived in the meantime may have a higher priority.
                 while let Ok(call) = calls.try_recv() {
                     queue(&mut budget, call);
                 }
@@ -332,7 +332,7 @@
     request: awc::ClientRequest,
     value: bytes::Bytes,
     write: bool,
-) -> store::StoreResult<StoreAnswer> {
+) -> store::StoreResult<StoreResponse> {
     let mut response = match request.send_body(value).await {
         Ok(response) => response,
         Err(e) if write && outcome::NotRunProof::never_connected(&e).is_none() => {
@@ -346,11 +346,11 @@
         .and_then(|v| v.to_str().ok())
         .and_then(|v| v.parse().ok());
     let status = response.status();
-    let body = response.body().limit(MAX_ANSWER_BYTES).await;
+    let body = response.body().limit(MAX_RESPONSE_BYTES).await;
     match status {
         StatusCode::OK => {}
         StatusCode::NOT_FOUND | StatusCode::NOT_MODIFIED => {
-            return Ok(StoreAnswer {
+            return Ok(StoreResponse {
                 revision: None,
                 body: bytes::Bytes::new(),
                 found: false,
@@ -359,12 +359,12 @@
         StatusCode::PRECONDITION_FAILED => return Err(store::StoreError::Conflict),
         StatusCode::PAYLOAD_TOO_LARGE => return Err(store::StoreError::TooLarge),
         StatusCode::TOO_MANY_REQUESTS => return Err(unavailable("over its rate")),
-        // A gateway's word on a write says nothing of whether it took effect.
+        // Other statuses, for example from a proxy, do not show whether a write took effect.
         _ if write => return Err(store::StoreError::Unknown),
         other => return Err(unavailable(other.to_string())),
     }
     match body {
-        Ok(body) => Ok(StoreAnswer {
+        Ok(body) => Ok(StoreResponse {
             revision,
             body,
             found: true,
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -1,66 +1,67 @@
-//! The parts of the OpenAI protocol that are read or written here.
+//! Supported parts of the OpenAI protocol.
 
 use crate::ids;
 
-/// Tokens of an answer if the caller names no limit.
+/// Token limit of a response if the request specifies none.
 pub const DEFAULT_MAX_TOKENS: u32 = 64;
 
-/// Header that names an attempt towards an endpoint; the endpoint echoes it.
+/// Request header with the attempt identifier, echoed by the endpoint.
 pub const ATTEMPT_HEADER: &str = "x-attempt-id";
-/// Header in which an endpoint says that it refused before running: `no`.
+/// Response header with the value `no` if the endpoint rejected a request before running it.
 pub const RAN_HEADER: &str = "x-ran";
-/// Header that resumes a stream after an event.
+/// Request header with the index of the event after which to resume a stream.
 pub const RESUME_HEADER: &str = "last-event-id";
-/// Path below which an engine's streams can be cancelled by the attempt's name.
+/// Path prefix for cancelling an engine's stream by attempt identifier.
 pub const STREAMS_PATH: &str = "/v1/streams/";
-/// Header that says how long an engine keeps a sequence whose reader left, in milliseconds.
+/// Request header with the time for which an engine keeps a sequence after its reader
+/// disconnects, in milliseconds.
 pub const KEEP_HEADER: &str = "x-keep-ms";
 
-/// One message of a chat.
+/// Chat message.
 #[derive(Debug, Clone, serde::Serialize, serde::Deserialize)]
 pub struct ChatMessage {
-    /// Who said it.
+    /// Role of the author.
     pub role: String,
-    /// What was said; other forms than text are passed through untouched.
+    /// Content of the message; content other than text is passed through unchanged.
     pub content: serde_json::Value,
 }
 
-/// The fields of a generation request that decisions need.
+/// Generation request, limited to the fields that are processed here.
 ///
-/// The body itself is passed on as it came, with every other field.
+/// The original body is forwarded with all its fields.
 #[derive(Debug, Clone, serde::Deserialize)]
 pub struct GenerationRequest {
-    /// The model wanted.
+    /// Requested model.
     pub model: ids::ServiceName,
-    /// Messages of a chat.
+    /// Chat messages.
     #[serde(default)]
     pub messages: Vec<ChatMessage>,
-    /// Prompt of a completion.
+    /// Prompt of a text completion.
     #[serde(default)]
     pub prompt: Option<String>,
-    /// Whether the answer is wanted as events.
+    /// Whether to stream the response as events.
     #[serde(default)]
     pub stream: bool,
-    /// Limit of the answer.
+    /// Maximum number of tokens in the response.
     #[serde(default)]
     pub max_tokens: Option<u32>,
-    /// The newer name of `max_tokens`.
+    /// Newer name of `max_tokens`; takes precedence.
     #[serde(default)]
     pub max_completion_tokens: Option<u32>,
-    /// Whether the last message is the start of the answer.
+    /// Whether the last message is a prefix of the response.
     #[serde(default)]
     pub continue_final_message: bool,
 }
 
 impl GenerationRequest {
-    /// Most tokens of the answer.
+    /// Returns the maximum number of tokens in the response.
     pub fn token_limit(&self) -> u32 {
         self.max_completion_tokens
             .or(self.max_tokens)
             .unwrap_or(DEFAULT_MAX_TOKENS)
     }
 
-    /// The prompt as one text, without a start of the answer.
+    /// Returns the prompt as text, without a given prefix of the response.
     pub fn prompt_text(&self) -> String {
         if let Some(prompt) = &self.prompt {
             return prompt.clone();
@@ -77,7 +78,7 @@
         text
     }
 
-    /// The start of the answer that was given with the request.
+    /// Returns the response prefix given in the request, or an empty string.
     pub fn given_text(&self) -> String {
         match self.messages.last() {
             Some(last) if self.continue_final_message => content_text(&last.content),
@@ -93,17 +94,18 @@
     }
 }
 
-/// Whether a path is answered in the form of a chat.
+/// Returns whether responses for a path use the chat format.
 pub fn is_chat(path: &str) -> bool {
     path.ends_with("/chat/completions")
 }
 
-/// Whether a path is one that model engines serve.
+/// Returns whether a path is served by model engines.
 pub fn is_generation(path: &str) -> bool {
     path == "/v1/chat/completions" || path == "/v1/completions"
 }
 
-/// Adds `text` to a request as the start of the answer, for an engine to go on from.
+/// Returns a copy of a request body with `text` as the response prefix that an engine
+/// continues.
 pub fn with_given_text(body: &serde_json::Value, text: &str) -> serde_json::Value {
     let mut body = body.clone();
     let Some(fields) = body.as_object_mut() else {
@@ -117,7 +119,7 @@
     body
 }
 
-/// One event of a stream in the form callers know.
+/// Encodes the data of a stream event in the OpenAI format.
 pub fn stream_chunk(chat: bool, id: &str, model: &str, text: &str, last: bool) -> String {
     let finish = if last { Some("length") } else { None };
     let choice = if chat {
@@ -136,7 +138,7 @@
     .to_string()
 }
 
-/// A whole answer in the form callers know.
+/// Creates a complete response in the OpenAI format.
 pub fn full_response(
     chat: bool,
     id: &str,
@@ -165,7 +167,7 @@
     })
 }
 
-/// Seconds since the epoch, as the protocol dates things.
+/// Returns the current time in seconds since the Unix epoch, as used by the protocol.
 pub fn created() -> u64 {
     std::time::SystemTime::now()
         .duration_since(std::time::UNIX_EPOCH)
