--- a/src/outcome.rs
+++ b/src/outcome.rs
@@ -1,7 +1,7 @@
 //! Outcome of one attempt of a request.
 //!
-//! A [`NotRunProof`] can be created only by the functions of this module, one for each
-//! kind of evidence, so that other code cannot construct "not run" without evidence.
+//! A [`NotRunProof`] can be created only by its own functions, each of which requires
+//! evidence, so that no other code can wrongly report "not run".
 
 use std::fmt;
 
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Returns a proof if no connection was established, so that no byte was sent.
+    /// Creates a proof from a connection error, after which no byte was sent.
     pub fn no_connection(_: &std::io::Error) -> Self {
         Self(NotRunReason::NeverConnected)
     }
--- a/src/settle.rs
+++ b/src/settle.rs
@@ -11,7 +11,7 @@
 pub enum SettledWrite {
     /// The write took effect, in the last try or in an earlier one whose response was lost.
     Done(store::ObjectRevision),
-    /// The precondition no longer holds; contains the current object, if any.
+    /// Another write took effect first; contains the current object, if any.
     Lost(Option<store::VersionedObject>),
 }
 
