--- a/src/gateway/admit.rs
+++ b/src/gateway/admit.rs
@@ -5,7 +5,7 @@
 use super::{caller_request, context};
 use crate::{decisions::workspace_limit, error, ids};
 
-/// A request's place in its workspace's share; given back when dropped.
+/// Held slot of a workspace's share of concurrent requests; released on drop.
 pub struct WorkspaceSlot {
     context: sync::Arc<context::GatewayContext>,
     workspace: ids::WorkspaceId,
@@ -17,10 +17,11 @@
     }
 }
 
-/// Takes a place for the request, or says when to come back.
+/// Acquires a slot of the workspace's share at this gateway for a request.
 ///
 /// # Errors
-/// The workspace is over its share.
+/// Returns `LimitReached` if the workspace has used up its share; for a rate limit, the error
+/// carries the time after which to retry.
 pub fn admit(
     context: &sync::Arc<context::GatewayContext>,
     terms: &caller_request::CallerTerms,
@@ -39,11 +40,11 @@
             context: context.clone(),
             workspace: workspace.id.clone(),
         }),
-        Err(refusal) => Err(refused(refusal)),
+        Err(refusal) => Err(limit_error(refusal)),
     }
 }
 
-fn refused(refusal: workspace_limit::LimitRefusal) -> error::ApiError {
+fn limit_error(refusal: workspace_limit::LimitRefusal) -> error::ApiError {
     let code = error::ErrorCode::LimitReached;
     match refusal {
         workspace_limit::LimitRefusal::Concurrency => {
@@ -52,7 +53,7 @@
         workspace_limit::LimitRefusal::Rate(wait) => {
             let message = "the workspace has too many requests a second";
             let mut error = error::ApiError::not_run(code, message);
-            // Whole seconds, at least one: that is what the header can say.
+            // The Retry-After header takes whole seconds.
             let seconds = wait.as_secs_f64().ceil().max(1.0);
             error.retry_after = Some(std::time::Duration::from_secs(seconds as u64));
             error
--- a/src/gateway/caller_request.rs
+++ b/src/gateway/caller_request.rs
@@ -1,35 +1,35 @@
-//! What a caller's headers say: workspace, class, deadline, repeatability, key.
+//! Headers and bodies of callers: workspace, class, deadline, repeatability, idempotency key.
 
 use std::time;
 
 use crate::{bundle, error, http_server};
 
-/// Header with the milliseconds that the caller will wait.
+/// Header with the caller's timeout in milliseconds.
 pub const DEADLINE_HEADER: &str = "x-deadline-ms";
-/// Header with the class of the request.
+/// Header with the class of the request, `interactive` or `background`.
 pub const CLASS_HEADER: &str = "x-class";
-/// Header that says, with `no`, that a request may not be repeated.
+/// Header that forbids, with `no`, to run a request more than once.
 pub const REPEATABLE_HEADER: &str = "x-repeatable";
-/// Header that names a request across resends.
+/// Header with the idempotency key, the same for every resend of a request.
 pub const KEY_HEADER: &str = "idempotency-key";
-/// Header of each answer that names the request in the logs.
+/// Response header with the request's identifier in the logs.
 pub const REQUEST_HEADER: &str = "x-request-id";
-/// Longest accepted idempotency key, in bytes.
+/// Maximum length of an idempotency key, in bytes.
 const MAX_KEY_BYTES: usize = 255;
-/// Longest accepted deadline.
+/// Maximum timeout; a longer one is cut to it.
 const MAX_DEADLINE: time::Duration = time::Duration::from_secs(3600);
 
 /// Class of an online request, for metrics and limits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum RequestClass {
-    /// Somebody waits for it.
+    /// A user waits for the response.
     Interactive,
-    /// Nobody waits for it right now.
+    /// No user waits for the response.
     Background,
 }
 
 impl RequestClass {
-    /// The class as it stands in headers and metrics.
+    /// Returns the name of the class in headers and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Interactive => "interactive",
@@ -38,26 +38,28 @@
     }
 }
 
-/// The terms of a request as its headers say them.
+/// Terms of a request, as its headers give them.
 #[derive(Debug, Clone)]
 pub struct CallerTerms {
-    /// Name of the request in the logs.
+    /// Identifier of the request in the logs.
     pub request_id: String,
-    /// When it arrived.
+    /// Time of arrival.
     pub arrived: time::Instant,
-    /// Whose it is.
+    /// Workspace of the API key.
     pub workspace: bundle::WorkspaceSpec,
-    /// Its class.
+    /// Class of the request.
     pub class: RequestClass,
-    /// How long the caller will wait.
+    /// Time from arrival within which the caller expects the response.
     pub timeout: time::Duration,
-    /// Whether the caller forbids to repeat it.
+    /// Whether the caller forbids to run the request more than once.
     pub forbids_repeat: bool,
-    /// Its idempotency key.
+    /// Idempotency key, if the caller gave one.
     pub key: Option<String>,
 }
 
-/// Reads the API key; a wrong one learns nothing but that it is wrong.
+/// Returns the workspace of the API key.
+///
+/// The error is the same for a missing and an unknown key, so that it reveals nothing.
 ///
 /// # Errors
 /// The key is missing or unknown.
@@ -74,15 +76,16 @@
     })
 }
 
-/// The key in `Authorization: Bearer KEY`.
+/// Returns the key in `Authorization: Bearer KEY`.
 pub fn bearer(head: &actix_http::RequestHead) -> Option<&str> {
     http_server::header(head, "authorization")?.strip_prefix("Bearer ")
 }
 
-/// Reads the terms of a request.
+/// Reads the terms of a request from its headers.
 ///
 /// # Errors
-/// The key is unknown, or a header holds something else than allowed.
+/// Returns `InvalidApiKey` if the key is unknown, and `InvalidRequest` if a header has a value
+/// that is not allowed.
 pub fn read_terms(
     head: &actix_http::RequestHead,
     bundle: &bundle::IndexedBundle,
@@ -153,13 +156,14 @@
     Ok(Some(key.to_owned()))
 }
 
-/// Deepest nesting of JSON that is read; the parser's own bound is the same.
+/// Maximum nesting depth of a JSON body; equals the recursion limit of `serde_json`.
 pub const MAX_JSON_DEPTH: usize = 128;
 
 /// Parses a JSON body.
 ///
 /// # Errors
-/// The body is not JSON of the expected form, or is nested too deeply.
+/// Returns `InvalidRequest`, with the path of the fault, if the body is not JSON of the expected
+/// form or is nested too deeply.
 pub fn parse_json<T: serde::de::DeserializeOwned>(body: &[u8]) -> error::ApiResult<T> {
     let mut deserializer = serde_json::Deserializer::from_slice(body);
     serde_path_to_error::deserialize(&mut deserializer).map_err(|e| {
@@ -168,10 +172,10 @@
     })
 }
 
-/// Reads a caller's body within the limits.
+/// Reads a caller's body of at most `limit` bytes.
 ///
 /// # Errors
-/// The body is too large, too slow or broken.
+/// Returns an error if the body is too large, does not arrive in time or is malformed.
 pub async fn read_body(
     request: &mut actix_http::Request,
     limit: usize,
--- a/src/gateway/context.rs
+++ b/src/gateway/context.rs
@@ -1,4 +1,4 @@
-//! What the parts of a gateway share.
+//! State shared by the request handlers of a gateway.
 
 use std::{
     collections, num,
@@ -12,19 +12,19 @@
     fleet, ids, link, metrics, settings, store,
 };
 
-/// What the parts of a gateway share; passed by reference.
+/// Settings, clients and counters of a gateway, shared by all worker threads.
 pub struct GatewayContext {
-    /// Its settings.
+    /// Settings of the gateway.
     pub settings: settings::gateway::GatewaySettings,
-    /// Its clock.
+    /// Clock for deadlines and health.
     pub clock: sync::Arc<dyn clock::MonotonicClock>,
-    /// The platform's object service.
+    /// Client of the platform's object store.
     pub store: sync::Arc<dyn store::ObjectStore>,
-    /// What it knows of the fleet.
+    /// Handle that gives snapshots of the fleet.
     pub fleet: fleet::FleetHandle,
-    /// Links to its peers.
+    /// Client for links to peers.
     pub link: link::LinkClient,
-    /// Its metrics.
+    /// Metrics of the process.
     pub metrics: sync::Arc<metrics::MetricSet>,
     limits: sync::Mutex<workspace_limit::LimitTracker>,
     health: sync::Mutex<health::HealthTracker>,
@@ -35,21 +35,21 @@
     running: atomic::AtomicUsize,
 }
 
-/// Counts of running jobs as they were read a moment ago, so that one read serves many pollers.
+/// Recently read item counts of running jobs, so that one read serves many polling callers.
 type CountsCache = lru::LruCache<ids::JobId, (time::Instant, job::ItemCounts)>;
 
-/// How long counts are served from memory.
-const COUNTS_AGE: time::Duration = time::Duration::from_millis(500);
-/// Jobs whose counts are kept.
-const COUNTS_JOBS: num::NonZeroUsize = num::NonZeroUsize::new(1024).unwrap();
+/// Time for which cached counts are served.
+const MAX_COUNTS_AGE: time::Duration = time::Duration::from_millis(500);
+/// Maximum number of jobs whose counts are cached.
+const MAX_CACHED_JOBS: num::NonZeroUsize = num::NonZeroUsize::new(1024).unwrap();
 
-/// Takes a lock; a panic elsewhere leaves counters only, so the value is still good.
+/// Locks a mutex and ignores poisoning: the data are counters, which stay usable after a panic.
 pub fn lock<T>(mutex: &sync::Mutex<T>) -> sync::MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(|e| e.into_inner())
 }
 
 impl GatewayContext {
-    /// The shared parts of a new gateway.
+    /// Creates the context from the parts of the process.
     pub fn new(
         settings: settings::gateway::GatewaySettings,
         parts: daemon_parts::DaemonParts,
@@ -66,63 +66,65 @@
             health: sync::Mutex::default(),
             retries: sync::Mutex::default(),
             outstanding: sync::Mutex::default(),
-            counts: sync::Mutex::new(lru::LruCache::new(COUNTS_JOBS)),
+            counts: sync::Mutex::new(lru::LruCache::new(MAX_CACHED_JOBS)),
             stopping: atomic::AtomicBool::new(false),
             running: atomic::AtomicUsize::new(0),
         }
     }
 
-    /// What the workspaces use here.
+    /// Locks the usage of the workspaces at this gateway.
     pub fn limits(&self) -> sync::MutexGuard<'_, workspace_limit::LimitTracker> {
         lock(&self.limits)
     }
 
-    /// Which endpoints fail.
+    /// Locks the health statistics of the endpoints.
     pub fn health(&self) -> sync::MutexGuard<'_, health::HealthTracker> {
         lock(&self.health)
     }
 
-    /// Retries that are left.
+    /// Locks the retry budget.
     pub fn retries(&self) -> sync::MutexGuard<'_, retry::RetryBudget> {
         lock(&self.retries)
     }
 
-    /// Requests under way at each endpoint.
+    /// Locks the number of requests in flight for each endpoint.
     pub fn outstanding(&self) -> sync::MutexGuard<'_, collections::HashMap<ids::EndpointId, u32>> {
         lock(&self.outstanding)
     }
 
-    /// Counts of a running job, if they were read a moment ago.
+    /// Returns the cached item counts of a running job unless they have expired.
     pub fn cached_counts(&self, id: &ids::JobId) -> Option<job::ItemCounts> {
         let mut cache = lock(&self.counts);
         cache
             .get(id)
-            .filter(|(at, _)| at.elapsed() < COUNTS_AGE)
+            .filter(|(at, _)| at.elapsed() < MAX_COUNTS_AGE)
             .map(|(_, counts)| *counts)
     }
 
-    /// Keeps counts of a running job for the next pollers.
+    /// Caches the item counts of a running job.
     pub fn cache_counts(&self, id: &ids::JobId, counts: job::ItemCounts) {
         lock(&self.counts).put(id.clone(), (time::Instant::now(), counts));
     }
 
-    /// Counts a request that began; false if there are too many.
+    /// Counts a request in flight; returns false if that exceeds the limit.
+    ///
+    /// The request is counted in both cases, so [`Self::end_request`] must follow.
     pub fn begin_request(&self) -> bool {
         let before = self.running.fetch_add(1, atomic::Ordering::Relaxed);
         before < self.settings.callers.limits.requests
     }
 
-    /// Counts a request that was answered.
+    /// Ends the count of a request in flight.
     pub fn end_request(&self) {
         self.running.fetch_sub(1, atomic::Ordering::Relaxed);
     }
 
-    /// Turns the gateway unready for good.
+    /// Makes the readiness probe fail until the process ends.
     pub fn begin_stop(&self) {
         self.stopping.store(true, atomic::Ordering::Relaxed);
     }
 
-    /// Whether the gateway is about to stop.
+    /// Returns whether the gateway is stopping.
     pub fn is_stopping(&self) -> bool {
         self.stopping.load(atomic::Ordering::Relaxed)
     }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -1,4 +1,4 @@
-//! The gateway: what callers and operators talk to.
+//! The gateway: serves the HTTP API of callers and operators.
 
 pub mod admit;
 pub mod batches;
@@ -20,19 +20,19 @@
 
 use crate::{daemon_parts, fleet, http_server, link, protection, settings};
 
-/// A running gateway.
+/// Handle of a running gateway.
 pub struct GatewayDaemon {
-    /// Where callers reach it.
+    /// Address of the callers' listener.
     pub address: std::net::SocketAddr,
-    /// Where peers reach it.
+    /// Address of the peers' listener.
     pub link_address: std::net::SocketAddr,
-    /// What its parts share.
+    /// State that the request handlers share.
     pub context: sync::Arc<context::GatewayContext>,
     server: http_server::ServerGuard,
     _link: link::LinkGuard,
 }
 
-/// Answers peers on behalf of a gateway.
+/// Handles link requests of peers. A gateway owns no endpoints, so it gives no permits.
 struct GatewayLink {
     fleet: sync::OnceLock<fleet::FleetHandle>,
 }
@@ -55,10 +55,11 @@
     }
 }
 
-/// Starts a gateway.
+/// Starts the listeners for peers and callers and joins the fleet.
 ///
 /// # Errors
-/// An address cannot be bound, a thread cannot be started, or a certificate cannot be read.
+/// Returns an error if an address cannot be bound, a thread cannot be started, or a
+/// certificate cannot be read.
 pub fn start(
     settings: settings::gateway::GatewaySettings,
     secret: link::LinkSecret,
@@ -108,18 +109,18 @@
     })
 }
 
-/// Time in which a balancer sees that the gateway is no longer ready.
-const UNREADY_SPAN: time::Duration = time::Duration::from_millis(500);
+/// Delay before the listener closes, for a load balancer to notice the failing readiness probe.
+const UNREADY_DELAY: time::Duration = time::Duration::from_millis(500);
 
 impl GatewayDaemon {
-    /// Stops as planned: turns unready, then finishes every request in flight.
+    /// Stops gracefully: fails the readiness probe, then finishes the requests in flight.
     ///
     /// # Errors
-    /// The server's thread ended with an error.
+    /// Returns an error if the server's thread ended with one.
     pub fn stop(self) -> io::Result<()> {
         self.context.begin_stop();
         self.context.fleet.leave();
-        std::thread::sleep(UNREADY_SPAN);
+        std::thread::sleep(UNREADY_DELAY);
         log::info!("event=gateway_stopping");
         let outcome = self.server.stop(!protection::is_disabled("graceful_stop"));
         log::info!("event=gateway_stopped");
--- a/src/gateway/plain_calls.rs
+++ b/src/gateway/plain_calls.rs
@@ -1,21 +1,22 @@
-//! Calls of plain services: `/services/{service}/{path}`.
+//! Requests to plain services: `/services/{service}/{path}`.
 
 use std::{sync, time};
 
 use super::{admit, caller_request, context, whole_call};
 use crate::{error, http_server, ids, platform};
 
-/// Splits `/services/{service}/{path}` into service and path.
+/// Splits `/services/{service}/{path}` into the service and the path at the service.
 pub fn split_path(path: &str) -> Option<(&str, String)> {
     let rest = path.strip_prefix("/services/")?;
     let (service, path) = rest.split_once('/').unwrap_or((rest, ""));
     Some((service, format!("/{path}")))
 }
 
-/// Answers a call of a plain service.
+/// Forwards a request to a plain service.
 ///
 /// # Errors
-/// The final error to answer with.
+/// Returns the error for the caller if the service is unknown, the request is refused, or its
+/// attempts failed.
 pub async fn serve(
     context: &sync::Arc<context::GatewayContext>,
     client: &awc::Client,
@@ -36,7 +37,7 @@
     if let Some(query) = request.uri().query() {
         path = format!("{path}?{query}");
     }
-    let safe = matches!(
+    let is_safe_method = matches!(
         *request.method(),
         actix_http::Method::GET | actix_http::Method::HEAD
     );
@@ -51,9 +52,9 @@
             .unwrap_or("application/octet-stream")
             .to_owned(),
         body,
-        repeatable: !terms.forbids_repeat && (safe || spec.repeatable),
+        repeatable: !terms.forbids_repeat && (is_safe_method || spec.repeatable),
     };
-    let _place = admit::admit(context, terms)?;
+    let _slot = admit::admit(context, terms)?;
     let response = whole_call::run_once(context, client, terms, call).await?;
     Ok(whole_call::to_http(&response))
 }
--- a/src/gateway/route.rs
+++ b/src/gateway/route.rs
@@ -1,4 +1,4 @@
-//! Choice of an endpoint for one attempt, and the permit of its owner.
+//! Selection of an endpoint for an attempt, with a permit from the endpoint's owner.
 
 use std::{collections, net, sync};
 
@@ -8,30 +8,30 @@
     error, ids, link, platform, protection,
 };
 
-/// Owners asked for one attempt before the request is refused.
-const MAX_ASKED: usize = 3;
+/// Maximum number of permit requests for one attempt.
+const MAX_PERMIT_REQUESTS: usize = 3;
 
-/// What an attempt is for.
+/// Requirements on the endpoint of an attempt.
 pub struct RouteQuery<'a> {
-    /// The model or plain service.
+    /// Model or plain service to reach.
     pub service: &'a ids::ServiceName,
-    /// Engine or plain service.
+    /// Kind of the endpoint.
     pub kind: platform::EndpointKind,
-    /// Affinity of the prompt.
+    /// Affinity key of the prompt.
     pub key: u64,
-    /// Endpoints that failed this request before; used only if there are no others.
+    /// Endpoints at which this request failed before; they are ranked last.
     pub failed: &'a collections::HashSet<ids::EndpointId>,
 }
 
-/// An endpoint chosen for one attempt; its permit ends when this is dropped.
-pub struct RouteHold {
-    /// The endpoint.
+/// Endpoint reserved for an attempt; dropping it releases the permit.
+pub struct EndpointReservation {
+    /// Endpoint of the attempt.
     pub endpoint: platform::EndpointRecord,
     context: sync::Arc<context::GatewayContext>,
     permit: Option<(net::SocketAddr, admission::PermitNumber)>,
 }
 
-impl Drop for RouteHold {
+impl Drop for EndpointReservation {
     fn drop(&mut self) {
         let mut outstanding = self.context.outstanding();
         if let Some(count) = outstanding.get_mut(&self.endpoint.id) {
@@ -46,14 +46,17 @@
     }
 }
 
-/// Chooses an endpoint and asks its owner for a permit.
+/// Selects an endpoint and requests a permit from its owner.
+///
+/// Takes the first endpoint at which no request waits; if there is none among the first
+/// `MAX_PERMIT_REQUESTS`, the one with the fewest waiting requests.
 ///
 /// # Errors
-/// No endpoint serves this, or all that were asked are full.
+/// Returns `Overloaded` if no endpoint serves the query, or all owners denied a permit.
 pub async fn choose(
     context: &sync::Arc<context::GatewayContext>,
     query: &RouteQuery<'_>,
-) -> error::ApiResult<RouteHold> {
+) -> error::ApiResult<EndpointReservation> {
     let snapshot = context.fleet.snapshot();
     let ranked = ranked_endpoints(context, &snapshot.endpoints, query);
     if ranked.is_empty() {
@@ -63,90 +66,92 @@
             message,
         ));
     }
-    // The least crowded of those asked; the permits of the others end here.
-    let mut best: Option<(u32, RouteHold)> = None;
-    for endpoint in ranked.into_iter().take(MAX_ASKED) {
+    // Replacing the best reservation drops the previous one, which releases its permit.
+    let mut best: Option<(u32, EndpointReservation)> = None;
+    for endpoint in ranked.into_iter().take(MAX_PERMIT_REQUESTS) {
         let owner = snapshot.owner_of(&endpoint).map(|(_, address)| address);
-        let hold = hold(context, endpoint);
-        let Some((waiting, hold)) = send_request(context, hold, owner).await else {
+        let reservation = reserve(context, endpoint);
+        let Some((waiting, reservation)) = request_permit(context, reservation, owner).await else {
             continue;
         };
         if waiting == 0 {
-            return Ok(hold);
+            return Ok(reservation);
         }
         if best.as_ref().is_none_or(|(least, _)| waiting < *least) {
-            best = Some((waiting, hold));
+            best = Some((waiting, reservation));
         }
     }
     let message = "all endpoints hold as many requests as they may";
     let full = || error::ApiError::not_run(error::ErrorCode::Overloaded, message);
-    best.map(|(_, hold)| hold).ok_or_else(full)
+    best.map(|(_, reservation)| reservation).ok_or_else(full)
 }
 
-fn hold(
+fn reserve(
     context: &sync::Arc<context::GatewayContext>,
     endpoint: platform::EndpointRecord,
-) -> RouteHold {
+) -> EndpointReservation {
     *context
         .outstanding()
         .entry(endpoint.id.clone())
         .or_default() += 1;
-    RouteHold {
+    EndpointReservation {
         endpoint,
         context: context.clone(),
         permit: None,
     }
 }
 
-/// Asks the owner; without one the gateway goes ahead on its own estimate.
+/// Requests a permit from the endpoint's owner.
 ///
-/// Gives how many requests wait there for a place, or nothing if it takes no more.
-async fn send_request(
+/// Returns the number of requests that wait there for a slot, or `None` if the owner denied.
+/// If the owner cannot be reached, the attempt goes ahead without a permit, on the gateway's own
+/// load estimate.
+async fn request_permit(
     context: &context::GatewayContext,
-    mut hold: RouteHold,
+    mut reservation: EndpointReservation,
     owner: Option<net::SocketAddr>,
-) -> Option<(u32, RouteHold)> {
+) -> Option<(u32, EndpointReservation)> {
     let Some(owner) = owner.filter(|_| context.settings.online.permits) else {
-        count(context, "none");
-        return Some((0, hold));
+        count_permit(context, "none");
+        return Some((0, reservation));
     };
     let number = rand::random();
-    let endpoint = hold.endpoint.id.clone();
-    // Held from here on: a permit whose answer is lost is released as well.
-    hold.permit = Some((owner, number));
+    let endpoint = reservation.endpoint.id.clone();
+    // Set before the request is sent, so that a permit whose response is lost is released too.
+    reservation.permit = Some((owner, number));
     let request = link::PermitRequest { endpoint, number };
     match context.link.permit(owner, request).await {
         Ok(link::PermitResponse::Granted { waiting, .. }) => {
-            count(context, "granted");
-            Some((waiting, hold))
+            count_permit(context, "granted");
+            Some((waiting, reservation))
         }
         Ok(link::PermitResponse::Full) => {
-            count(context, "full");
+            count_permit(context, "full");
             None
         }
         Ok(link::PermitResponse::Leaving) => {
-            count(context, "leaving");
+            count_permit(context, "leaving");
             None
         }
         Ok(link::PermitResponse::NotOwner) => {
-            count(context, "not_owner");
-            Some((0, hold))
+            count_permit(context, "not_owner");
+            Some((0, reservation))
         }
         Err(_) => {
-            count(context, "unreachable");
+            count_permit(context, "unreachable");
             if protection::is_disabled("go_ahead") {
                 return None;
             }
-            Some((0, hold))
+            Some((0, reservation))
         }
     }
 }
 
-fn count(context: &context::GatewayContext, outcome: &str) {
+fn count_permit(context: &context::GatewayContext, outcome: &str) {
     context.metrics.permits.with_label_values(&[outcome]).inc();
 }
 
-/// Live endpoints of the service, best first; the ones that failed before go last.
+/// Returns the usable live endpoints of the service, best first, with those that failed last.
 fn ranked_endpoints(
     context: &context::GatewayContext,
     endpoints: &[platform::EndpointRecord],
@@ -176,7 +181,7 @@
         .collect();
     let policy = match query.kind {
         platform::EndpointKind::Engine => context.settings.online.routing,
-        // Plain services keep no prompts: only their load counts.
+        // Plain services have no prompt cache, so affinity brings nothing.
         platform::EndpointKind::Plain => routing::RoutePolicy::LeastOutstanding,
     };
     let order = routing::rank(policy, query.key, &candidates, &mut rand::rng());
--- a/src/gateway/stream_relay.rs
+++ b/src/gateway/stream_relay.rs
@@ -163,7 +163,7 @@
     /// Relays the whole answer, with as many attempts as it takes and is allowed.
     async fn relay(&mut self) -> error::ApiResult<()> {
         loop {
-            let hold = self.choose().await?;
+            let reservation = self.choose().await?;
             if self.attempts == 0 {
                 self.observe(
                     &self.context.metrics.queue_time,
@@ -176,13 +176,13 @@
             };
             loop {
                 self.attempts += 1;
-                let (attempt, outcome) = self.attempt(&hold, &take_up).await;
+                let (attempt, outcome) = self.attempt(&reservation, &take_up).await;
                 let reason = match outcome {
                     Ok(PumpEnd::Finished | PumpEnd::CallerGone) => return Ok(()),
                     Ok(PumpEnd::Late) => return Err(self.late()),
                     Ok(PumpEnd::Cut(reason)) => reason,
                     Err(ended) => {
-                        self.decide(&hold, ended)?;
+                        self.decide(&reservation, ended)?;
                         break;
                     }
                 };
@@ -194,13 +194,13 @@
                     take_up = TakeUp::Resume(attempt);
                     continue;
                 }
-                self.decide(&hold, outcome::AttemptOutcome::Unknown(reason))?;
+                self.decide(&reservation, outcome::AttemptOutcome::Unknown(reason))?;
                 break;
             }
         }
     }
 
-    async fn choose(&self) -> error::ApiResult<route::RouteHold> {
+    async fn choose(&self) -> error::ApiResult<route::EndpointReservation> {
         let query = route::RouteQuery {
             service: &self.call.service,
             kind: self.call.kind,
@@ -219,11 +219,11 @@
     /// Goes on to another endpoint, or gives the final error at once.
     fn decide(
         &mut self,
-        hold: &route::RouteHold,
+        reservation: &route::EndpointReservation,
         ended: outcome::AttemptOutcome<()>,
     ) -> error::ApiResult<()> {
-        whole_call::record(&self.context, hold, &ended);
-        self.failed.insert(hold.endpoint.id.clone());
+        whole_call::record(&self.context, reservation, &ended);
+        self.failed.insert(reservation.endpoint.id.clone());
         if !matches!(ended, outcome::AttemptOutcome::NotRun(_)) {
             self.may_have_run = true;
         }
@@ -250,10 +250,10 @@
     /// One attempt; gives its name for a later resume, and how it ended.
     async fn attempt(
         &mut self,
-        hold: &route::RouteHold,
+        reservation: &route::EndpointReservation,
         take_up: &TakeUp,
     ) -> (ids::AttemptId, Result<PumpEnd, outcome::AttemptOutcome<()>>) {
-        let call = self.endpoint_call(hold, take_up);
+        let call = self.endpoint_call(reservation, take_up);
         let attempt = call.attempt.clone();
         let silence = self.silence();
         let opening = endpoint_client::open_stream(&self.client, &call);
@@ -265,7 +265,7 @@
         let ended = match opened {
             O::Completed(endpoint_client::OpenedStream::Events(events)) => {
                 self.may_have_run = true;
-                let end = self.pump(hold, events).await;
+                let end = self.pump(reservation, events).await;
                 if matches!(end, PumpEnd::CallerGone) {
                     endpoint_client::cancel_stream(&self.client, call.address, &attempt).await;
                 }
@@ -284,7 +284,7 @@
 
     fn endpoint_call(
         &self,
-        hold: &route::RouteHold,
+        reservation: &route::EndpointReservation,
         take_up: &TakeUp,
     ) -> endpoint_client::EndpointCall {
         let attempt = match take_up {
@@ -300,7 +300,7 @@
             _ => self.call.body.clone(),
         };
         endpoint_client::EndpointCall {
-            address: hold.endpoint.address,
+            address: reservation.endpoint.address,
             method: self.call.method.clone(),
             path: self.call.path.clone(),
             content_type: self.call.content_type.clone(),
@@ -329,7 +329,7 @@
     /// Relays events until the answer, the caller or the stream ends.
     async fn pump(
         &mut self,
-        hold: &route::RouteHold,
+        reservation: &route::EndpointReservation,
         mut events: endpoint_client::EventStream,
     ) -> PumpEnd {
         loop {
@@ -357,7 +357,11 @@
                 return PumpEnd::CallerGone;
             }
             if self.cursor.is_finished() {
-                whole_call::record(&self.context, hold, &outcome::AttemptOutcome::Completed(()));
+                whole_call::record(
+                    &self.context,
+                    reservation,
+                    &outcome::AttemptOutcome::Completed(()),
+                );
                 let spent = self.context.clock.now().since(self.started);
                 self.observe(&self.context.metrics.full_response, spent);
                 return PumpEnd::Finished;
--- a/src/gateway/tls.rs
+++ b/src/gateway/tls.rs
@@ -1,4 +1,4 @@
-//! TLS towards callers: certificate and key from files, read again when they change.
+//! TLS for callers, with a certificate and key that are reloaded when the key file changes.
 
 use std::{fs, io, path, sync, time};
 
@@ -6,8 +6,8 @@
 
 use crate::settings;
 
-/// How often the files are looked at.
-const CHECK_PAUSE: time::Duration = time::Duration::from_secs(2);
+/// Minimum interval between two checks of the key file for changes.
+const CHECK_INTERVAL: time::Duration = time::Duration::from_secs(2);
 
 struct KeyReloader {
     files: settings::gateway::TlsSettings,
@@ -29,7 +29,7 @@
 impl server::ResolvesServerCert for KeyReloader {
     fn resolve(&self, _: server::ClientHello<'_>) -> Option<sync::Arc<sign::CertifiedKey>> {
         let mut state = self.state.lock().unwrap_or_else(|e| e.into_inner());
-        if state.checked_at.elapsed() >= CHECK_PAUSE {
+        if state.checked_at.elapsed() >= CHECK_INTERVAL {
             state.checked_at = time::Instant::now();
             self.reload(&mut state);
         }
@@ -49,7 +49,7 @@
                 state.changed_at = changed_at;
                 log::info!("event=tls_key_reloaded");
             }
-            // The old key goes on serving until the files are whole again.
+            // The files may be incomplete during a replacement: the previous key stays active.
             Err(e) => log::warn!("event=tls_key_unread why=\"{e}\""),
         }
     }
@@ -70,10 +70,10 @@
     Ok(sign::CertifiedKey::new(chain, key))
 }
 
-/// The TLS side of a gateway's listener.
+/// Creates the TLS configuration of the callers' listener.
 ///
 /// # Errors
-/// A file cannot be read or holds no certificate or key.
+/// Returns an error if a file cannot be read or contains no key, or the key is not supported.
 pub fn server_config(
     files: &settings::gateway::TlsSettings,
 ) -> io::Result<sync::Arc<rustls::ServerConfig>> {
--- a/src/gateway/whole_call.rs
+++ b/src/gateway/whole_call.rs
@@ -117,8 +117,8 @@
             key: call.affinity,
             failed: &failed,
         };
-        let hold = match route::choose(context, &query).await {
-            Ok(hold) => hold,
+        let reservation = match route::choose(context, &query).await {
+            Ok(reservation) => reservation,
             Err(e) => return Err(with_history(e, may_have_run)),
         };
         if attempts == 1 {
@@ -132,8 +132,8 @@
                 duration,
             );
         }
-        let outcome = attempt(context, client, call, &hold, deadline).await;
-        record(context, &hold, &outcome);
+        let outcome = attempt(context, client, call, &reservation, deadline).await;
+        record(context, &reservation, &outcome);
         if !matches!(outcome, outcome::AttemptOutcome::NotRun(_)) {
             may_have_run = true;
         }
@@ -147,7 +147,7 @@
                 .into_result()
                 .map_err(|e| with_history(e, may_have_run));
         }
-        failed.insert(hold.endpoint.id.clone());
+        failed.insert(reservation.endpoint.id.clone());
     }
 }
 
@@ -163,14 +163,14 @@
     context: &context::GatewayContext,
     client: &awc::Client,
     call: &WholeCall,
-    hold: &route::RouteHold,
+    reservation: &route::EndpointReservation,
     deadline: crate::clock::MonotonicTime,
 ) -> outcome::AttemptOutcome<endpoint_client::EndpointResponse> {
     let Ok(attempt) = ids::unique("att").parse() else {
         return outcome::AttemptOutcome::NotRun(outcome::NotRunProof::never_sent());
     };
     let endpoint_call = endpoint_client::EndpointCall {
-        address: hold.endpoint.address,
+        address: reservation.endpoint.address,
         method: call.method.clone(),
         path: call.path.clone(),
         content_type: call.content_type.clone(),
@@ -186,10 +186,10 @@
 /// Notes an attempt's end in health, retry budget and metrics.
 pub fn record<T>(
     context: &context::GatewayContext,
-    hold: &route::RouteHold,
+    reservation: &route::EndpointReservation,
     outcome: &outcome::AttemptOutcome<T>,
 ) {
-    let id = &hold.endpoint.id;
+    let id = &reservation.endpoint.id;
     let label = match outcome {
         outcome::AttemptOutcome::Completed(_) => {
             context.health().record_success(id);
