--- a/src/gateway/batches.rs
+++ b/src/gateway/batches.rs
@@ -1,4 +1,4 @@
-//! Batch jobs as callers see them: create, read, list, cancel.
+//! HTTP API of batch jobs: create, read, list and cancel.
 
 use std::{collections, sync, time};
 
@@ -10,18 +10,18 @@
     settle, store, wire,
 };
 
-/// Longest wait for a job to be accepted or cancelled.
+/// Timeout for accepting or cancelling a job.
 const STORE_TIMEOUT: time::Duration = time::Duration::from_secs(8);
-/// Longest window of a job.
+/// Maximum completion window of a job.
 const MAX_WINDOW: time::Duration = time::Duration::from_secs(30 * 24 * 3600);
-/// Shortest window of a job.
+/// Minimum completion window of a job.
 const MIN_WINDOW: time::Duration = time::Duration::from_secs(1);
-/// Pairs that a caller may attach.
-const MAX_METADATA: usize = 16;
-/// Jobs in one page of a list at most.
-const MAX_PAGE: usize = 100;
+/// Maximum number of metadata pairs of a job.
+const MAX_METADATA_PAIRS: usize = 16;
+/// Maximum number of jobs in one page of a list.
+const MAX_PAGE_JOBS: usize = 100;
 
-/// What a caller asks for.
+/// Body of a request that creates a job.
 #[derive(Debug, serde::Deserialize)]
 struct CreateRequest {
     input_file_id: String,
@@ -31,17 +31,17 @@
     metadata: Option<collections::BTreeMap<String, String>>,
 }
 
-/// A job as it stands.
+/// Status of a job.
 #[derive(Debug, Clone)]
-pub enum JobView {
-    /// It runs; so many items have a result.
+pub enum JobStatus {
+    /// The job is running, with counts of its items so far.
     Active(sync::Arc<job::JobManifest>, job::ItemCounts),
-    /// It has ended.
+    /// The job has ended.
     Ended(Box<job::JobRecord>),
 }
 
-impl JobView {
-    /// The job.
+impl JobStatus {
+    /// Returns the manifest of the job.
     pub fn manifest(&self) -> &job::JobManifest {
         match self {
             Self::Active(manifest, _) => manifest,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// The job in the form callers know.
+    /// Returns the job in the form of the batch API.
     pub fn json(&self) -> serde_json::Value {
         let manifest = self.manifest();
         let (status, counts, ended_at) = match self {
@@ -89,10 +89,11 @@
     error::ApiError::not_run(error::ErrorCode::InvalidRequest, message)
 }
 
-/// Accepts a job; a resent submission is the same job.
+/// Accepts a job. A resend with the same idempotency key returns the existing job.
 ///
 /// # Errors
-/// The request is wrong, its key came with other content, or the job cannot be stored.
+/// Returns an error if the request is invalid, its idempotency key was used with other content, or
+/// the job cannot be stored.
 pub async fn create(
     context: &sync::Arc<context::GatewayContext>,
     terms: &caller_request::CallerTerms,
@@ -101,28 +102,31 @@
     let limits = &context.settings.callers.limits;
     let timeout = time::Duration::from_millis(limits.body_timeout_ms);
     let body = caller_request::read_body(&mut request, limits.body_bytes, timeout).await?;
-    let wanted: CreateRequest = caller_request::parse_json(&body)?;
+    let create_request: CreateRequest = caller_request::parse_json(&body)?;
     let workspace = &terms.workspace.id;
-    let file = files::read_record(context, workspace, &wanted.input_file_id).await?;
-    check_paths(&wanted.endpoint, &file.paths)?;
+    let file = files::read_record(context, workspace, &create_request.input_file_id).await?;
+    check_paths(&create_request.endpoint, &file.paths)?;
     check_services(context, &file)?;
-    let manifest = new_manifest(terms, &wanted, file)?;
-    let view = accept(context, manifest).await?;
+    let manifest = new_manifest(terms, &create_request, file)?;
+    let job_status = accept(context, manifest).await?;
     log::info!(
         "event=job_accepted request={} job={} items={}",
         terms.request_id,
-        view.manifest().id,
-        view.manifest().items
+        job_status.manifest().id,
+        job_status.manifest().items
     );
-    Ok(http_server::json(actix_http::StatusCode::OK, &view.json()))
+    Ok(http_server::json(
+        actix_http::StatusCode::OK,
+        &job_status.json(),
+    ))
 }
 
 fn check_paths(endpoint: &str, paths: &[String]) -> error::ApiResult<()> {
-    let fits = |path: &&String| {
+    let is_allowed = |path: &&String| {
         path.as_str() == endpoint
             || (endpoint.starts_with("/services/") && path.starts_with(endpoint))
     };
-    match paths.iter().find(|p| !fits(p)) {
+    match paths.iter().find(|p| !is_allowed(p)) {
         None => Ok(()),
         Some(other) => Err(invalid(format!(
             "endpoint: found '{endpoint}', but the file has items for '{other}'"
@@ -130,8 +134,8 @@
     }
 }
 
-/// Refuses a file of which nothing can run; single items that nobody serves
-/// get their error lines when the job runs.
+/// Refuses a file if none of its services is available. Single items without a service get error
+/// lines when the job runs.
 fn check_services(
     context: &context::GatewayContext,
     file: &files::FileRecord,
@@ -157,50 +161,51 @@
 
 fn new_manifest(
     terms: &caller_request::CallerTerms,
-    wanted: &CreateRequest,
+    create_request: &CreateRequest,
     file: files::FileRecord,
 ) -> error::ApiResult<job::JobManifest> {
-    let window = humantime::parse_duration(&wanted.completion_window)
+    let window = humantime::parse_duration(&create_request.completion_window)
         .ok()
         .filter(|w| (MIN_WINDOW..=MAX_WINDOW).contains(w))
         .ok_or_else(|| {
-            let found = &wanted.completion_window;
+            let found = &create_request.completion_window;
             invalid(format!(
                 "completion_window: found '{found}', allowed are durations like 24h, 1s to 30days"
             ))
         })?;
-    let metadata = wanted.metadata.clone().unwrap_or_default();
-    if metadata.len() > MAX_METADATA {
+    let metadata = create_request.metadata.clone().unwrap_or_default();
+    if metadata.len() > MAX_METADATA_PAIRS {
         return Err(invalid(format!(
-            "metadata: at most {MAX_METADATA} pairs are allowed"
+            "metadata: at most {MAX_METADATA_PAIRS} pairs are allowed"
         )));
     }
-    let attached = serde_json::to_vec(&metadata).unwrap_or_default();
+    let metadata_json = serde_json::to_vec(&metadata).unwrap_or_default();
     let digest = once::hex_digest(&[
         file.digest.as_bytes(),
-        wanted.endpoint.as_bytes(),
-        wanted.completion_window.as_bytes(),
-        &attached,
+        create_request.endpoint.as_bytes(),
+        create_request.completion_window.as_bytes(),
+        &metadata_json,
     ]);
     let now = wire::created();
     Ok(job::JobManifest {
         id: job_id(terms),
         workspace: terms.workspace.id.clone(),
         input_file: file.id,
-        path: wanted.endpoint.clone(),
+        path: create_request.endpoint.clone(),
         services: file.services,
         items: file.chunk_items.iter().sum(),
         chunk_items: file.chunk_items,
         created_at: now,
         due_at: now + window.as_secs(),
-        completion_window: wanted.completion_window.clone(),
+        completion_window: create_request.completion_window.clone(),
         metadata,
         digest,
         cancelling_at: None,
     })
 }
 
-/// The name of a job: of its workspace and key, so that a resend names the same.
+/// Returns the job's identifier. It is derived from the workspace and the idempotency key, if there
+/// is one, so that a resend gets the same identifier.
 fn job_id(terms: &caller_request::CallerTerms) -> ids::JobId {
     let name = match &terms.key {
         None => ids::unique("batch"),
@@ -213,21 +218,22 @@
     ids::JobId::try_from(name).expect("hexadecimal names are valid")
 }
 
-/// Digits of the digest in the name of a job with a key: 128 bits.
+/// Number of hexadecimal digits of the digest in a job's identifier: 128 bits.
 const JOB_ID_DIGITS: usize = 32;
 
-/// Writes the manifest if the job is new; otherwise checks that it is the same.
+/// Writes the manifest if the job is new; otherwise checks that the existing job has the same
+/// content.
 ///
-/// Nothing is read after the manifest is written: once it stands, the job is
-/// accepted, and an error would say otherwise. Should a job of this name end
-/// between the look and the write, its chunks are done and it ends again.
+/// Nothing is read after the manifest is written: the job is accepted then, and a failed read
+/// would report the opposite. If a job with this identifier ends between the read and the write,
+/// the new manifest finds all its chunks completed, and the job ends again.
 async fn accept(
     context: &context::GatewayContext,
     manifest: job::JobManifest,
-) -> error::ApiResult<JobView> {
+) -> error::ApiResult<JobStatus> {
     let ended = read_ended(context, &manifest.workspace, &manifest.id).await?;
     if let Some(record) = ended {
-        return same_content(JobView::Ended(Box::new(record)), &manifest);
+        return check_same_content(JobStatus::Ended(Box::new(record)), &manifest);
     }
     let written = settle::put(
         context.store.as_ref(),
@@ -244,20 +250,23 @@
                 total: manifest.items,
                 ..job::ItemCounts::default()
             };
-            Ok(JobView::Active(sync::Arc::new(manifest), counts))
+            Ok(JobStatus::Active(sync::Arc::new(manifest), counts))
         }
         Ok(settle::SettledWrite::Lost(_)) => {
-            let view = read(context, &manifest.workspace, manifest.id.as_str()).await?;
-            same_content(view, &manifest)
+            let job_status = read(context, &manifest.workspace, manifest.id.as_str()).await?;
+            check_same_content(job_status, &manifest)
         }
         Err(e) => Err(files::store_error(&e)),
     }
 }
 
-/// A resent submission must have the content that its key came with first.
-fn same_content(view: JobView, manifest: &job::JobManifest) -> error::ApiResult<JobView> {
-    if view.manifest().digest == manifest.digest {
-        return Ok(view);
+/// Returns the status of an existing job, or `IdempotencyConflict` if its content differs.
+fn check_same_content(
+    job_status: JobStatus,
+    manifest: &job::JobManifest,
+) -> error::ApiResult<JobStatus> {
+    if job_status.manifest().digest == manifest.digest {
+        return Ok(job_status);
     }
     let message = "this idempotency key came with other content before";
     let code = error::ErrorCode::IdempotencyConflict;
@@ -292,31 +301,32 @@
     Ok(Some((object.revision, manifest)))
 }
 
-/// Reads a job.
+/// Reads the status of a job.
 ///
 /// # Errors
-/// There is no such job in the workspace, or the object service cannot be reached.
+/// Returns `NotFound` if there is no such job in the workspace, and `StoreUnavailable` if the
+/// object service cannot be reached.
 pub async fn read(
     context: &context::GatewayContext,
     workspace: &ids::WorkspaceId,
     id: &str,
-) -> error::ApiResult<JobView> {
+) -> error::ApiResult<JobStatus> {
     let not_found = || {
         let message = format!("no such batch: '{id}'");
         error::ApiError::not_run(error::ErrorCode::NotFound, message)
     };
     let id: ids::JobId = id.parse().map_err(|_| not_found())?;
     if let Some(record) = read_ended(context, workspace, &id).await? {
-        return Ok(JobView::Ended(Box::new(record)));
+        return Ok(JobStatus::Ended(Box::new(record)));
     }
     if let Some((_, manifest)) = read_active(context, workspace, &id).await? {
         let counts = read_counts(context, &manifest).await?;
-        return Ok(JobView::Active(sync::Arc::new(manifest), counts));
+        return Ok(JobStatus::Active(sync::Arc::new(manifest), counts));
     }
-    // It may have ended between the two reads.
+    // The job may have ended between the two reads.
     let record = read_ended(context, workspace, &id).await?;
     record
-        .map(|r| JobView::Ended(Box::new(r)))
+        .map(|r| JobStatus::Ended(Box::new(r)))
         .ok_or_else(not_found)
 }
 
@@ -334,21 +344,22 @@
     Ok(counts)
 }
 
-/// Asks for a job's cancellation.
+/// Requests the cancellation of a job; has no effect on a job that has ended.
 ///
 /// # Errors
-/// There is no such job, or the object service cannot be reached.
+/// Returns `NotFound` if there is no such job, and `StoreUnavailable` if the object service cannot be
+/// reached.
 pub async fn cancel(
     context: &context::GatewayContext,
     workspace: &ids::WorkspaceId,
     id: &str,
-) -> error::ApiResult<JobView> {
+) -> error::ApiResult<JobStatus> {
     let deadline = time::Instant::now() + STORE_TIMEOUT;
     loop {
-        let view = read(context, workspace, id).await?;
-        let manifest = match &view {
-            JobView::Active(manifest, _) if manifest.cancelling_at.is_none() => manifest.clone(),
-            _ => return Ok(view),
+        let job_status = read(context, workspace, id).await?;
+        let manifest = match &job_status {
+            JobStatus::Active(manifest, _) if manifest.cancelling_at.is_none() => manifest.clone(),
+            _ => return Ok(job_status),
         };
         let Some((revision, current)) = read_active(context, workspace, &manifest.id).await? else {
             continue;
@@ -366,10 +377,10 @@
         match written {
             Ok(settle::SettledWrite::Done(_)) => {
                 log::info!("event=job_cancelling job={}", cancelled.id);
-                // The cancellation stands, whether its counts can be read or not.
+                // The cancellation is stored: an error from reading the counts is only logged.
                 let counts = read_counts(context, &cancelled).await;
                 let counts = counts.ok_or_log("job_uncounted").unwrap_or_default();
-                return Ok(JobView::Active(sync::Arc::new(cancelled), counts));
+                return Ok(JobStatus::Active(sync::Arc::new(cancelled), counts));
             }
             Ok(settle::SettledWrite::Lost(_)) => continue,
             Err(e) => return Err(files::store_error(&e)),
@@ -377,64 +388,64 @@
     }
 }
 
-/// A page of a workspace's jobs, the newest first.
+/// Returns a page of a workspace's jobs, the newest first.
 ///
 /// # Errors
-/// The object service cannot be reached.
+/// Returns `StoreUnavailable` if the object service cannot be reached.
 pub async fn list(
     context: &context::GatewayContext,
     workspace: &ids::WorkspaceId,
     request: &actix_http::Request,
 ) -> error::ApiResult<serde_json::Value> {
     let limit = http_server::query(request.uri(), "limit").and_then(|v| v.parse().ok());
-    let limit = limit.unwrap_or(20).clamp(1, MAX_PAGE);
+    let limit = limit.unwrap_or(20).clamp(1, MAX_PAGE_JOBS);
     let after = http_server::query(request.uri(), "after");
     let store = context.store.as_ref();
-    let mut views = collections::BTreeMap::new();
+    let mut jobs = collections::BTreeMap::new();
     for prefix in ["active", "job"] {
         let prefix = format!("{prefix}/{workspace}/");
         let items = store::list_all(store, &prefix)
             .await
             .map_err(|e| files::store_error(&e))?;
         for text in items.iter().filter_map(|item| item.value.as_deref()) {
-            if let Some(view) = parse_view(text) {
-                views.insert(view.manifest().id.clone(), view);
+            if let Some(job_status) = parse_job(text) {
+                jobs.insert(job_status.manifest().id.clone(), job_status);
             }
         }
     }
-    let mut views: Vec<JobView> = views.into_values().collect();
-    views.sort_by(|a, b| {
-        let key = |v: &JobView| (v.manifest().created_at, v.manifest().id.clone());
+    let mut jobs: Vec<JobStatus> = jobs.into_values().collect();
+    jobs.sort_by(|a, b| {
+        let key = |v: &JobStatus| (v.manifest().created_at, v.manifest().id.clone());
         key(b).cmp(&key(a))
     });
     let start = match after {
         None => 0,
-        Some(after) => views
+        Some(after) => jobs
             .iter()
             .position(|v| v.manifest().id.as_str() == after)
-            .map_or(views.len(), |at| at + 1),
+            .map_or(jobs.len(), |at| at + 1),
     };
-    let page: Vec<_> = views
+    let page: Vec<_> = jobs
         .iter()
         .skip(start)
         .take(limit)
-        .map(JobView::json)
+        .map(JobStatus::json)
         .collect();
     let id_of = |v: Option<&serde_json::Value>| v.map(|v| v["id"].clone());
     Ok(serde_json::json!({
         "object": "list", "first_id": id_of(page.first()), "last_id": id_of(page.last()),
-        "has_more": start + page.len() < views.len(), "data": page,
+        "has_more": start + page.len() < jobs.len(), "data": page,
     }))
 }
 
-fn parse_view(text: &str) -> Option<JobView> {
+fn parse_job(text: &str) -> Option<JobStatus> {
     if let Ok(record) = serde_json::from_str::<job::JobRecord>(text) {
-        return Some(JobView::Ended(Box::new(record)));
+        return Some(JobStatus::Ended(Box::new(record)));
     }
     let manifest: job::JobManifest = serde_json::from_str(text).ok_or_log("job_unreadable")?;
     let counts = job::ItemCounts {
         total: manifest.items,
         ..job::ItemCounts::default()
     };
-    Some(JobView::Active(sync::Arc::new(manifest), counts))
+    Some(JobStatus::Active(sync::Arc::new(manifest), counts))
 }
--- a/src/gateway/caller_request.rs
+++ b/src/gateway/caller_request.rs
@@ -62,7 +62,7 @@
 /// The error is the same for a missing and an unknown key, so that it reveals nothing.
 ///
 /// # Errors
-/// The key is missing or unknown.
+/// Returns `InvalidApiKey` if the key is missing or unknown.
 pub fn authenticate(
     head: &actix_http::RequestHead,
     bundle: &bundle::IndexedBundle,
--- a/src/gateway/context.rs
+++ b/src/gateway/context.rs
@@ -18,7 +18,7 @@
     pub settings: settings::gateway::GatewaySettings,
     /// Clock for deadlines and health.
     pub clock: sync::Arc<dyn clock::MonotonicClock>,
-    /// Client of the platform's object store.
+    /// Client of the platform's object service.
     pub store: sync::Arc<dyn store::ObjectStore>,
     /// Handle that gives snapshots of the fleet.
     pub fleet: fleet::FleetHandle,
--- a/src/gateway/files.rs
+++ b/src/gateway/files.rs
@@ -1,4 +1,4 @@
-//! Files of batch items: uploads in parts, checked line by line, stored as chunks.
+//! Uploads of batch items: multipart forms, validated line by line and stored as chunks.
 
 use std::{collections, io, sync, time};
 
@@ -12,43 +12,43 @@
     batch_item, decisions::call_budget, error, http_server, ids, job_store, settle, store, wire,
 };
 
-/// Items of the first chunks, so that a small job spreads over many dispatchers.
+/// Maximum number of items in the first chunks; low, so that many dispatchers share a small job.
 const FIRST_CHUNK_ITEMS: usize = 50;
-/// Items in a chunk at most.
-const LAST_CHUNK_ITEMS: usize = 400;
-/// Chunks after which the number of items doubles.
+/// Maximum number of items in any chunk.
+const MAX_CHUNK_ITEMS: usize = 400;
+/// Number of chunks after which the maximum number of items doubles.
 const CHUNKS_PER_SIZE: usize = 16;
-/// Bytes in a chunk at most; below what the object service holds.
-const CHUNK_BYTES: usize = 900 << 10;
-/// Longest wait for a chunk to be stored.
+/// Maximum size of a chunk in bytes; below the object service's limit for one object.
+const MAX_CHUNK_BYTES: usize = 900 << 10;
+/// Timeout for storing a chunk or a file's record.
 const STORE_TIMEOUT: time::Duration = time::Duration::from_secs(10);
-/// Longest wait for the next piece of an upload.
+/// Timeout for the next piece of an upload.
 const PIECE_TIMEOUT: time::Duration = time::Duration::from_secs(30);
 
-/// The object `file/{workspace}/{file}`; written after all its chunks.
+/// Content of the object `file/{workspace}/{file}`, which is written after all chunks of the file.
 #[derive(Debug, Clone, serde::Serialize, serde::Deserialize)]
 pub struct FileRecord {
-    /// Its name.
+    /// Identifier of the file.
     pub id: ids::FileId,
-    /// Name that the caller gave it.
+    /// File name that the caller gave.
     pub filename: String,
-    /// What it is for.
+    /// Purpose that the caller gave; always `batch`.
     pub purpose: String,
-    /// Bytes in all.
+    /// Size of the upload, in bytes.
     pub bytes: u64,
-    /// When it was stored, in seconds since the epoch.
+    /// Time of creation, in seconds since the epoch.
     pub created_at: u64,
-    /// Items of each chunk.
+    /// Number of items in each chunk.
     pub chunk_items: Vec<u32>,
-    /// Models and plain services of the items.
+    /// Models and plain services that the items use.
     pub services: Vec<ids::ServiceName>,
-    /// Paths of the items.
+    /// Request paths of the items.
     pub paths: Vec<String>,
-    /// SHA-256 of the items.
+    /// SHA-256 of the items' lines, in hexadecimal.
     pub digest: String,
 }
 
-/// Key of a file's record.
+/// Returns the store key of a file's record.
 pub fn record_key(workspace: &ids::WorkspaceId, file: &ids::FileId) -> String {
     format!("file/{workspace}/{file}")
 }
@@ -57,7 +57,7 @@
     error::ApiError::not_run(error::ErrorCode::InvalidRequest, message)
 }
 
-/// An error of the object service as callers see it.
+/// Converts an error of the object service to the error for the caller.
 pub fn store_error(e: &store::StoreError) -> error::ApiError {
     let mut error = error::ApiError::not_run(error::ErrorCode::StoreUnavailable, e.to_string());
     if *e == store::StoreError::Unknown {
@@ -69,7 +69,8 @@
 /// Reads a file's record.
 ///
 /// # Errors
-/// There is no such file in the workspace, or the object service cannot be reached.
+/// Returns `NotFound` if there is no such file in the workspace, and `StoreUnavailable` if the
+/// object service cannot be reached.
 pub async fn read_record(
     context: &context::GatewayContext,
     workspace: &ids::WorkspaceId,
@@ -86,8 +87,8 @@
     object.decode().map_err(|e| store_error(&e))
 }
 
-/// The file as callers see it.
-pub fn view(record: &FileRecord) -> serde_json::Value {
+/// Returns the file in the form of the files API.
+pub fn to_json(record: &FileRecord) -> serde_json::Value {
     serde_json::json!({
         "id": record.id, "object": "file", "bytes": record.bytes,
         "created_at": record.created_at, "filename": record.filename,
@@ -98,7 +99,8 @@
 /// Stores an uploaded file.
 ///
 /// # Errors
-/// The upload is malformed or over a limit, or cannot be stored: then nothing is accepted.
+/// Returns an error if the upload is malformed, exceeds a limit or cannot be stored. The file's
+/// record is written last, so a failed upload leaves no file.
 pub async fn upload(
     context: &sync::Arc<context::GatewayContext>,
     terms: &caller_request::CallerTerms,
@@ -107,7 +109,7 @@
     let content_type = http_server::header(request.head(), "content-type").unwrap_or("");
     let boundary = multer::parse_boundary(content_type)
         .map_err(|_| invalid("a multipart/form-data body is needed"))?;
-    let pieces = pump_payload(request.take_payload());
+    let pieces = forward_payload(request.take_payload());
     let mut form = multer::Multipart::new(pieces, boundary);
     let mut purpose = None;
     let mut stored = None;
@@ -139,18 +141,18 @@
     );
     Ok(http_server::json(
         actix_http::StatusCode::OK,
-        &view(&record),
+        &to_json(&record),
     ))
 }
 
-/// Pieces of an upload that may wait for the parser.
-const RING_PIECES: usize = 8;
+/// Maximum number of pieces of an upload that are buffered for the parser.
+const MAX_BUFFERED_PIECES: usize = 8;
 
-/// Moves a payload through a ring, as the parser wants a stream that may change threads.
-fn pump_payload(
+/// Forwards a payload through a channel, because the parser needs a `Send` stream.
+fn forward_payload(
     mut payload: actix_http::Payload,
 ) -> impl futures::Stream<Item = io::Result<bytes::Bytes>> + Send + 'static {
-    let (sender, receiver) = mpsc::channel(RING_PIECES);
+    let (sender, receiver) = mpsc::channel(MAX_BUFFERED_PIECES);
     actix_rt::spawn(async move {
         while let Some(piece) = payload.next().await {
             let piece = piece.map_err(|e| io::Error::other(e.to_string()));
@@ -170,11 +172,11 @@
 ) -> error::ApiResult<Option<multer::Field<'a>>> {
     match actix_rt::time::timeout(PIECE_TIMEOUT, form.next_field()).await {
         Ok(field) => field.map_err(|e| invalid(e.to_string())),
-        Err(_) => Err(too_slow()),
+        Err(_) => Err(upload_timeout()),
     }
 }
 
-fn too_slow() -> error::ApiError {
+fn upload_timeout() -> error::ApiError {
     let message = "the upload did not go on in time";
     error::ApiError::not_run(error::ErrorCode::RequestTimeout, message)
 }
@@ -210,13 +212,13 @@
         let piece = match actix_rt::time::timeout(PIECE_TIMEOUT, field.next()).await {
             Ok(Some(piece)) => piece.map_err(|e| invalid(e.to_string()))?,
             Ok(None) => break,
-            Err(_) => return Err(too_slow()),
+            Err(_) => return Err(upload_timeout()),
         };
         writer.count_bytes(piece.len(), limits.file_bytes)?;
         for part in piece.split_inclusive(|b| *b == b'\n') {
             line.extend_from_slice(part);
             if line.len() > limits.line_bytes {
-                return Err(writer.fault(&format!("longer than {} bytes", limits.line_bytes)));
+                return Err(writer.line_error(&format!("longer than {} bytes", limits.line_bytes)));
             }
             if line.ends_with(b"\n") {
                 writer.add(&line, limits.file_items).await?;
@@ -229,15 +231,15 @@
     Ok(writer)
 }
 
-/// Items of the chunk with an index: few in the first chunks, more in later ones.
-fn chunk_items(index: usize) -> usize {
+/// Returns the maximum number of items in the chunk with the given index.
+fn max_chunk_items(index: usize) -> usize {
     let doublings = (index / CHUNKS_PER_SIZE).min(usize::BITS as usize / 4);
-    (FIRST_CHUNK_ITEMS << doublings).min(LAST_CHUNK_ITEMS)
+    (FIRST_CHUNK_ITEMS << doublings).min(MAX_CHUNK_ITEMS)
 }
 
-/// Cuts items into chunks and stores each when it is full.
+/// Writer that groups items into chunks and stores each chunk when it is full.
 ///
-/// Invariant: `chunk` holds `in_chunk` lines, each with its end.
+/// Invariant: `chunk` contains `in_chunk` lines, each terminated by a newline.
 struct ChunkWriter {
     context: sync::Arc<context::GatewayContext>,
     id: ids::FileId,
@@ -282,7 +284,7 @@
         Ok(())
     }
 
-    fn fault(&self, problem: &str) -> error::ApiError {
+    fn line_error(&self, problem: &str) -> error::ApiError {
         invalid(format!("line {} of the file: {problem}", self.lines + 1))
     }
 
@@ -298,18 +300,18 @@
                 message,
             ));
         }
-        let item = batch_item::BatchItem::parse(line).map_err(|e| self.fault(&e))?;
+        let item = batch_item::BatchItem::parse(line).map_err(|e| self.line_error(&e))?;
         if !self
             .custom_ids
             .insert(xxh3::xxh3_128(item.custom_id.as_bytes()))
         {
-            return Err(self.fault("its custom_id stands above already"));
+            return Err(self.line_error("its custom_id stands above already"));
         }
-        let service = item.service().map_err(|e| self.fault(&e))?;
+        let service = item.service().map_err(|e| self.line_error(&e))?;
         self.services.insert(service);
         self.paths.insert(item.url.clone());
-        if self.in_chunk >= chunk_items(self.chunk_items.len())
-            || self.chunk.len() + line.len() + 1 > CHUNK_BYTES
+        if self.in_chunk >= max_chunk_items(self.chunk_items.len())
+            || self.chunk.len() + line.len() + 1 > MAX_CHUNK_BYTES
         {
             self.flush().await?;
         }
--- a/src/gateway/generation.rs
+++ b/src/gateway/generation.rs
@@ -37,7 +37,7 @@
     if generation_request.stream {
         return stream_relay::serve(context, client, terms, call, slot).await;
     }
-    let response = whole_call::run_once(context, client, &terms, call).await?;
+    let response = whole_call::run_measured(context, client, &terms, call).await?;
     drop(slot);
     Ok(whole_call::to_http(&response))
 }
--- a/src/gateway/once.rs
+++ b/src/gateway/once.rs
@@ -1,7 +1,7 @@
-//! Records of online calls that may not be repeated and carry a key.
+//! Records of online requests that may not be repeated and have an idempotency key.
 //!
-//! The record is created before the call is sent. A resend, also through
-//! another gateway, finds it and is answered from it.
+//! The record is created before the request is sent to an endpoint. A resend, also through
+//! another gateway, finds the record and gets its response from it.
 
 use std::time;
 
@@ -13,55 +13,57 @@
     decisions::call_budget, endpoint_client, error, ids, log_error::LogError as _, settle, store,
 };
 
-/// Largest answer that is kept for resends, in bytes.
-const MAX_KEPT_BYTES: usize = 256 << 10;
-/// Longest wait for the record to be written.
+/// Maximum size of a response body that is stored for resends, in bytes.
+const MAX_STORED_BYTES: usize = 256 << 10;
+/// Timeout for writing or removing a record.
 const RECORD_TIMEOUT: time::Duration = time::Duration::from_secs(4);
 
-/// What became of a recorded call.
+/// State of a recorded request.
 #[derive(Debug, Clone, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum OnceState {
-    /// It is being sent, or its gateway was lost.
+    /// The request is in flight, or its gateway failed.
     Started,
-    /// It ended with this answer.
-    Answered(KeptAnswer),
-    /// It ended, and its answer was too large to keep.
-    AnsweredUnkept,
-    /// It may have run; it is not run again.
+    /// The request ended with this response.
+    #[serde(rename = "answered")]
+    Completed(StoredResponse),
+    /// The request ended with a response that was too large to store.
+    #[serde(rename = "answered_unkept")]
+    CompletedUnstored,
+    /// The result is unknown for the given reason; the request may have run and is not run again.
     Unknown(String),
 }
 
 #[derive(Debug, Clone, serde::Serialize, serde::Deserialize)]
-struct KeptAnswer {
+struct StoredResponse {
     status: u16,
     content_type: String,
-    /// The body in base64.
+    /// Body, encoded in base64.
     body: String,
 }
 
-/// The object `once/{workspace}/{key}`.
+/// Content of the object `once/{workspace}/{digest of the key}`.
 #[derive(Debug, Clone, serde::Serialize, serde::Deserialize)]
 struct OnceRecord {
     digest: String,
     request_id: String,
-    /// Seconds since the epoch after which a started call is taken as lost.
+    /// Time after which a started request counts as lost, in seconds since the epoch.
     lost_after: u64,
     state: OnceState,
 }
 
-/// A call that this gateway may send, once.
+/// Permission to send a recorded request once, with the revision of its record.
 pub struct OnceTicket {
     key: String,
     revision: store::ObjectRevision,
     record: OnceRecord,
 }
 
-/// What a recorded key says about a call.
+/// Result of looking up a request's idempotency key.
 pub enum OnceEntry {
-    /// Go ahead.
+    /// The key is new: the request may be sent.
     Send(Box<OnceTicket>),
-    /// It was answered before.
+    /// The request ended before with this response.
     Replay(endpoint_client::EndpointResponse),
 }
 
@@ -69,7 +71,7 @@
     format!("once/{workspace}/{}", hex_digest(&[key.as_bytes()]))
 }
 
-/// SHA-256 over parts, each with its length, in hexadecimal.
+/// Returns the SHA-256 in hexadecimal of the parts, each preceded by its length.
 pub fn hex_digest(parts: &[&[u8]]) -> String {
     let mut hasher = sha2::Sha256::new();
     for part in parts {
@@ -83,11 +85,12 @@
         .collect()
 }
 
-/// Records a call before it is sent, or finds what became of it.
+/// Records a request before it is sent, or looks up the result of the same request.
 ///
 /// # Errors
-/// The key came with other content, the call is under way or its outcome is
-/// unknown, or the object service cannot be reached: then nothing was sent.
+/// Returns `IdempotencyConflict` if the key was used with other content, `InProgress` if the
+/// request is in flight, and `OutcomeUnknown` if its outcome is unknown. Returns
+/// `StoreUnavailable` if the object service cannot be reached; nothing was sent then.
 pub async fn begin(
     context: &context::GatewayContext,
     terms: &caller_request::CallerTerms,
@@ -120,8 +123,8 @@
             record,
         }))),
         Ok(settle::SettledWrite::Lost(Some(found))) => {
-            let found: OnceRecord = found.decode().map_err(|e| unavailable(&e))?;
-            answer_from(&record, found, now)
+            let found: OnceRecord = found.decode().map_err(|e| store_unavailable(&e))?;
+            resolve_existing(&record, found, now)
         }
         Ok(settle::SettledWrite::Lost(None)) => {
             let message = "a call with this idempotency key just ended; send it again";
@@ -130,16 +133,16 @@
                 message,
             ))
         }
-        Err(e) => Err(unavailable(&e)),
+        Err(e) => Err(store_unavailable(&e)),
     }
 }
 
-fn unavailable(reason: &store::StoreError) -> error::ApiError {
+fn store_unavailable(reason: &store::StoreError) -> error::ApiError {
     let message = format!("the call cannot be recorded, so it was not sent: {reason}");
     error::ApiError::not_run(error::ErrorCode::StoreUnavailable, message)
 }
 
-fn answer_from(own: &OnceRecord, found: OnceRecord, now: u64) -> error::ApiResult<OnceEntry> {
+fn resolve_existing(own: &OnceRecord, found: OnceRecord, now: u64) -> error::ApiResult<OnceEntry> {
     if found.digest != own.digest {
         let message = "this idempotency key came with other content before";
         return Err(error::ApiError::not_run(
@@ -156,7 +159,7 @@
         ))
     };
     match found.state {
-        OnceState::Answered(kept) => match kept.into_answer() {
+        OnceState::Completed(stored) => match stored.into_response() {
             Some(response) => Ok(OnceEntry::Replay(response)),
             None => {
                 let message = "the call ran and was answered; the kept answer cannot be read";
@@ -164,7 +167,7 @@
                 Err(error::ApiError::ran(code, error::RanReport::Yes, message))
             }
         },
-        OnceState::AnsweredUnkept => {
+        OnceState::CompletedUnstored => {
             let message = "the call ran and was answered; the answer was too large to keep";
             let code = error::ErrorCode::EndpointFailed;
             Err(error::ApiError::ran(code, error::RanReport::Yes, message))
@@ -181,7 +184,7 @@
     }
 }
 
-impl KeptAnswer {
+impl StoredResponse {
     fn new(response: &endpoint_client::EndpointResponse) -> Self {
         Self {
             status: response.status.as_u16(),
@@ -190,8 +193,8 @@
         }
     }
 
-    /// The answer as it was given; nothing if the record is damaged.
-    fn into_answer(self) -> Option<endpoint_client::EndpointResponse> {
+    /// Returns the original response, or `None` if the record is damaged.
+    fn into_response(self) -> Option<endpoint_client::EndpointResponse> {
         let body = base64::engine::general_purpose::STANDARD.decode(&self.body);
         let status = actix_http::StatusCode::from_u16(self.status);
         Some(endpoint_client::EndpointResponse {
@@ -202,19 +205,19 @@
     }
 }
 
-/// Writes down how a recorded call ended.
+/// Stores the outcome of a recorded request.
 ///
-/// A call that did not run loses its record, so that a resend may run.
+/// Removes the record of a request that did not run, so that a resend may run.
 pub async fn end(
     context: &context::GatewayContext,
     ticket: OnceTicket,
     outcome: &error::ApiResult<endpoint_client::EndpointResponse>,
 ) {
     let state = match outcome {
-        Ok(response) if response.body.len() <= MAX_KEPT_BYTES => {
-            OnceState::Answered(KeptAnswer::new(response))
+        Ok(response) if response.body.len() <= MAX_STORED_BYTES => {
+            OnceState::Completed(StoredResponse::new(response))
         }
-        Ok(_) => OnceState::AnsweredUnkept,
+        Ok(_) => OnceState::CompletedUnstored,
         Err(e) if e.ran == error::RanReport::No => {
             let deadline = time::Instant::now() + RECORD_TIMEOUT;
             let class = call_budget::CallClass::Commit;
--- a/src/gateway/operators.rs
+++ b/src/gateway/operators.rs
@@ -1,4 +1,4 @@
-//! What operators may do: bundles, planned stops, and looking at the fleet.
+//! HTTP API of operators: bundles, graceful stops, and the state of the fleet.
 
 use std::{sync, time};
 
@@ -11,16 +11,16 @@
     protection, settle, store,
 };
 
-/// Longest wait for an operator's step to be stored.
+/// Timeout for storing an operator's change.
 const STEP_TIMEOUT: time::Duration = time::Duration::from_secs(8);
-/// Bytes of a bundle's document at most.
+/// Maximum size of a bundle document, in bytes.
 const MAX_BUNDLE_BYTES: usize = 32 << 20;
-/// Bytes of a stored part of a document.
-const PART_BYTES: usize = 900 << 10;
-/// Header with the operator's name, for the record.
+/// Maximum size of a stored part of a document, in bytes.
+const MAX_PART_BYTES: usize = 900 << 10;
+/// Header with the operator's name, for the bundle's history.
 pub const OPERATOR_HEADER: &str = "x-operator";
 
-/// Checks the operator's key and gives the operator's name.
+/// Checks the operator's key and returns the operator's name.
 fn authenticate(
     context: &context::GatewayContext,
     head: &actix_http::RequestHead,
@@ -40,10 +40,11 @@
         .to_owned())
 }
 
-/// Answers an operator's request.
+/// Serves a request of an operator.
 ///
 /// # Errors
-/// The final error to answer with.
+/// Returns the error for the operator if the key or the request is invalid, the change conflicts
+/// with the current state, or the object service cannot be reached.
 pub async fn serve(
     context: &sync::Arc<context::GatewayContext>,
     mut request: actix_http::Request,
@@ -55,12 +56,12 @@
         ("POST", "/operator/v1/bundles/check") => check(&mut request).await?,
         ("POST", "/operator/v1/bundles") => submit(context, &operator, &mut request).await?,
         ("POST", "/operator/v1/bundles/sign-off") => {
-            let generation = wanted_generation(&request)?;
+            let generation = requested_generation(&request)?;
             approve(context, &operator, generation).await?
         }
         ("POST", "/operator/v1/bundles/discard") => {
-            let generation = wanted_generation(&request)?;
-            step(context, |head| head.discard(generation)).await?;
+            let generation = requested_generation(&request)?;
+            update_head(context, |head| head.discard(generation)).await?;
             serde_json::json!({"discarded": generation})
         }
         ("GET", "/operator/v1/bundles") => status(context).await?,
@@ -81,7 +82,9 @@
     error::ApiError::not_run(error::ErrorCode::NotFound, message)
 }
 
-fn wanted_generation(request: &actix_http::Request) -> error::ApiResult<bundle::BundleGeneration> {
+fn requested_generation(
+    request: &actix_http::Request,
+) -> error::ApiResult<bundle::BundleGeneration> {
     let text = http_server::query(request.uri(), "generation").unwrap_or_default();
     text.parse().map_err(|_| {
         let message = format!("generation: found '{text}', a number is needed");
@@ -102,7 +105,7 @@
     Ok(serde_json::json!({"valid": faults.is_empty(), "faults": faults}))
 }
 
-/// Reads the head and its revision.
+/// Reads the bundle head, and returns it with the condition for its update.
 async fn read_head(
     store: &dyn store::ObjectStore,
 ) -> error::ApiResult<(bundle_steps::BundleHead, store::WriteCondition)> {
@@ -120,8 +123,8 @@
     }
 }
 
-/// Takes one step of the head by conditional update; a racing step is looked at anew.
-async fn step(
+/// Updates the bundle head conditionally; after a concurrent update, reads it again and retries.
+async fn update_head(
     context: &context::GatewayContext,
     next: impl Fn(
         &bundle_steps::BundleHead,
@@ -130,7 +133,7 @@
     let deadline = time::Instant::now() + STEP_TIMEOUT;
     loop {
         let (head, condition) = read_head(context.store.as_ref()).await?;
-        let wanted = next(&head).map_err(|conflict| {
+        let updated = next(&head).map_err(|conflict| {
             let code = error::ErrorCode::IdempotencyConflict;
             error::ApiError::not_run(code, conflict.to_string())
         })?;
@@ -138,7 +141,7 @@
             context.store.as_ref(),
             call_budget::CallClass::Control,
             fleet::BUNDLE_HEAD_KEY,
-            store::encode(&wanted),
+            store::encode(&updated),
             match protection::is_disabled("bundle_condition") {
                 true => store::WriteCondition::Always,
                 false => condition,
@@ -147,7 +150,7 @@
         )
         .await;
         match written {
-            Ok(settle::SettledWrite::Done(_)) => return Ok(wanted),
+            Ok(settle::SettledWrite::Done(_)) => return Ok(updated),
             Ok(settle::SettledWrite::Lost(_)) => continue,
             Err(e) => return Err(files::store_error(&e)),
         }
@@ -176,7 +179,7 @@
     };
     let name = ids::unique("doc");
     let parts = store_document(context, &name, &document).await?;
-    let head = step(context, |head| head.propose(parent, operator, &name, parts)).await?;
+    let head = update_head(context, |head| head.propose(parent, operator, &name, parts)).await?;
     Ok(serde_json::json!({"draft": head.draft}))
 }
 
@@ -186,7 +189,7 @@
     document: &bundle::BundleDocument,
 ) -> error::ApiResult<u32> {
     let text = store::encode(document);
-    let parts = text.chunks(PART_BYTES);
+    let parts = text.chunks(MAX_PART_BYTES);
     let count = parts.len() as u32;
     for (index, part) in parts.enumerate() {
         let key = fleet::document_key(name, index as u32);
@@ -209,7 +212,7 @@
     generation: bundle::BundleGeneration,
 ) -> error::ApiResult<serde_json::Value> {
     let before = read_head(context.store.as_ref()).await?.0;
-    // Read before it is accepted, so that peers are told even if the service goes out.
+    // Read before the draft is accepted, so that peers get it even if the store fails afterwards.
     let draft = before.draft.filter(|d| d.generation == generation);
     let document = match &draft {
         Some(entry) => fleet::read_document(context.store.as_ref(), entry)
@@ -217,14 +220,14 @@
             .ok_or_log("document_unread"),
         None => None,
     };
-    let head = step(context, |head| head.approve(generation, operator)).await?;
+    let head = update_head(context, |head| head.approve(generation, operator)).await?;
     if let Some(document) = document.filter(|_| !protection::is_disabled("push")) {
         push(context, generation, &document);
     }
     Ok(serde_json::json!({"accepted": head.accepted}))
 }
 
-/// Tells the accepted bundle to every live instance, this one included.
+/// Sends the accepted bundle to every live instance, including this one.
 fn push(
     context: &context::GatewayContext,
     generation: bundle::BundleGeneration,
@@ -248,24 +251,24 @@
 async fn status(context: &context::GatewayContext) -> error::ApiResult<serde_json::Value> {
     let (head, _) = read_head(context.store.as_ref()).await?;
     let snapshot = context.fleet.snapshot();
-    let wanted = head.generation();
+    let target = head.generation();
     let lagging: Vec<_> = snapshot
         .instances
         .values()
-        .filter(|r| r.generation < wanted)
+        .filter(|r| r.generation < target)
         .map(|r| serde_json::json!({"id": r.id, "generation": r.generation}))
         .collect();
     let live = snapshot.instances.len();
     let rolling = head.accepted.as_ref().map(|a| a.step) == Some(bundle_steps::BundleStep::Rolling);
     let head = if rolling && lagging.is_empty() && live > 0 {
         let settle = |current: &bundle_steps::BundleHead| {
-            // A newer sign-off meanwhile has instances of its own to wait for.
-            if current.generation() == wanted {
+            // A newer bundle was signed off meanwhile; its own rollout must finish first.
+            if current.generation() == target {
                 return Ok(current.settle());
             }
             Ok(current.clone())
         };
-        step(context, settle).await?
+        update_head(context, settle).await?
     } else {
         head
     };
@@ -281,7 +284,7 @@
     serde_json::json!({"instances": list})
 }
 
-/// `POST /operator/v1/instances/{id}/stop` asks an instance to stop as planned.
+/// Handles `POST /operator/v1/instances/{id}/stop`: requests a graceful stop of an instance.
 async fn stop_instance(
     context: &context::GatewayContext,
     rest: &str,
--- a/src/gateway/outputs.rs
+++ b/src/gateway/outputs.rs
@@ -1,4 +1,4 @@
-//! Contents of files: inputs as they came, outputs and errors of jobs.
+//! Downloads of files: uploaded inputs, and outputs and errors of jobs.
 
 use std::{io, sync, time};
 
@@ -11,14 +11,14 @@
     error, http_server, ids, job_store, settle, store,
 };
 
-/// Which lines of a job's results are wanted.
+/// Selection of a job's result lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ResultKind {
-    Answers,
-    Errors,
+    Completed,
+    Failed,
 }
 
-/// A part of a content: an object, and the lines of it that are wanted.
+/// Lines of a stored object that belong to a file's content.
 struct ContentPart {
     key: String,
     skip: usize,
@@ -27,37 +27,39 @@
 
 fn parse_output(file: &str) -> Option<(ResultKind, &str)> {
     if let Some(job) = file.strip_prefix("out-") {
-        return Some((ResultKind::Answers, job));
+        return Some((ResultKind::Completed, job));
     }
-    Some((ResultKind::Errors, file.strip_prefix("err-")?))
+    Some((ResultKind::Failed, file.strip_prefix("err-")?))
 }
 
-/// The description of a file or of a job's output.
+/// Returns the JSON description of a file or of a job's output.
 ///
 /// # Errors
-/// There is no such file, or the object service cannot be reached.
+/// Returns `NotFound` if there is no such file, and `StoreUnavailable` if the object service cannot
+/// be reached.
 pub async fn describe(
     context: &context::GatewayContext,
     workspace: &ids::WorkspaceId,
     file: &str,
 ) -> error::ApiResult<serde_json::Value> {
     let Some((_, id)) = parse_output(file) else {
-        return Ok(files::view(
+        return Ok(files::to_json(
             &files::read_record(context, workspace, file).await?,
         ));
     };
-    let view = batches::read(context, workspace, id).await?;
+    let job_status = batches::read(context, workspace, id).await?;
     Ok(serde_json::json!({
         "id": file, "object": "file", "bytes": 0, "filename": format!("{file}.jsonl"),
-        "created_at": view.manifest().created_at, "purpose": "batch_output",
+        "created_at": job_status.manifest().created_at, "purpose": "batch_output",
         "status": "processed",
     }))
 }
 
-/// The content of a file or of a job's output, streamed object by object.
+/// Streams the content of a file or of a job's output, object by object.
 ///
 /// # Errors
-/// There is no such file, its job has not ended, or the object service cannot be reached.
+/// Returns `NotFound` if there is no such file or its job has not ended, and `StoreUnavailable` if
+/// the object service cannot be reached.
 pub async fn content(
     context: &sync::Arc<context::GatewayContext>,
     workspace: &ids::WorkspaceId,
@@ -66,8 +68,8 @@
     let parts = match parse_output(file) {
         None => input_parts(&files::read_record(context, workspace, file).await?),
         Some((kind, id)) => match batches::read(context, workspace, id).await? {
-            batches::JobView::Ended(record) => result_parts(context, &record, kind).await?,
-            batches::JobView::Active(..) => {
+            batches::JobStatus::Ended(record) => result_parts(context, &record, kind).await?,
+            batches::JobStatus::Active(..) => {
                 let message = "the batch has not ended yet";
                 return Err(error::ApiError::not_run(
                     error::ErrorCode::NotFound,
@@ -104,8 +106,8 @@
     let chunks = chunks.map_err(|e| files::store_error(&e))?;
     let part = |index: u32, segment: &chunk::SegmentRef| {
         let (skip, take) = match kind {
-            ResultKind::Answers => (0, segment.completed),
-            ResultKind::Errors => (segment.completed, segment.failed),
+            ResultKind::Completed => (0, segment.completed),
+            ResultKind::Failed => (segment.completed, segment.failed),
         };
         ContentPart {
             key: chunk::segment_key(id, ids::ChunkIndex(index), &segment.name),
@@ -119,32 +121,34 @@
     Ok(parts.filter(|p| p.take > 0).collect())
 }
 
-/// Reads the wanted lines of an object; a failure breaks the answer off, never shortens it.
+/// Reads the selected lines of an object.
+///
+/// An error aborts the response, so that the caller never takes a truncated file for a whole one.
 async fn read_part(
     store: sync::Arc<dyn store::ObjectStore>,
     part: ContentPart,
 ) -> io::Result<bytes::Bytes> {
-    let object = read_patiently(store.as_ref(), &part.key).await;
+    let object = read_with_retries(store.as_ref(), &part.key).await;
     let object = object.map_err(io::Error::other)?;
     let object = object.ok_or_else(|| io::Error::other(format!("{} is missing", part.key)))?;
     if part.skip == 0 && part.take == usize::MAX {
         return Ok(object.value);
     }
     let lines = object.value.split_inclusive(|b| *b == b'\n');
-    let wanted: Vec<u8> = lines
+    let selected: Vec<u8> = lines
         .skip(part.skip)
         .take(part.take)
         .flatten()
         .copied()
         .collect();
-    Ok(wanted.into())
+    Ok(selected.into())
 }
 
-/// Longest that one object of a content is tried for.
+/// Time after which a failing read of one object is no longer retried.
 const READ_TIMEOUT: time::Duration = time::Duration::from_secs(20);
 
-/// Reads an object, over a short outage or a rate that is reached.
-async fn read_patiently(
+/// Reads an object; retries on errors such as a short outage or a reached rate limit.
+async fn read_with_retries(
     store: &dyn store::ObjectStore,
     key: &str,
 ) -> store::StoreResult<Option<store::VersionedObject>> {
--- a/src/gateway/plain_calls.rs
+++ b/src/gateway/plain_calls.rs
@@ -55,6 +55,6 @@
         repeatable: !terms.forbids_repeat && (is_safe_method || spec.repeatable),
     };
     let _slot = admit::admit(context, terms)?;
-    let response = whole_call::run_once(context, client, terms, call).await?;
+    let response = whole_call::run_measured(context, client, terms, call).await?;
     Ok(whole_call::to_http(&response))
 }
--- a/src/gateway/router.rs
+++ b/src/gateway/router.rs
@@ -1,4 +1,4 @@
-//! Which part of the gateway answers which path.
+//! Routing of callers' and operators' requests to their handlers, by method and path.
 
 use std::{sync, time};
 
@@ -8,14 +8,14 @@
 use super::{batches, caller_request, context, files, generation, operators, outputs, plain_calls};
 use crate::{endpoint_client, error, http_server, ids};
 
-/// Answers callers and operators on one worker thread.
+/// Request handler of one worker thread, with its own client for endpoints.
 pub struct CallerRouter {
     context: sync::Arc<context::GatewayContext>,
     client: awc::Client,
 }
 
 impl CallerRouter {
-    /// A router for the thread that it is made on.
+    /// Creates a router for the current thread.
     pub fn new(context: sync::Arc<context::GatewayContext>) -> Self {
         Self {
             context,
@@ -33,28 +33,28 @@
         let client = self.client.clone();
         async move {
             let request_id = ids::unique("req");
-            let line = RequestLine::new(&request, request_id.clone());
+            let request_log = RequestLog::new(&request, request_id.clone());
             let running = RunningRequest::begin(&context, &request);
             let outcome = match running.check() {
                 Ok(()) => route(&context, &client, request, request_id).await,
                 Err(e) => Err(e),
             };
-            line.finish(&context, outcome)
+            request_log.finish(&context, outcome)
         }
         .boxed_local()
     }
 }
 
-/// A request under way; counted until it is answered or its caller goes.
+/// Request in flight; counted until its response is made or its caller disconnects.
 struct RunningRequest {
     context: sync::Arc<context::GatewayContext>,
-    /// What speaks against it, before it is looked at.
+    /// Error that refuses the request before it is routed, if a limit is exceeded.
     refusal: Option<error::ApiError>,
 }
 
 impl RunningRequest {
     fn begin(context: &sync::Arc<context::GatewayContext>, request: &actix_http::Request) -> Self {
-        let fits = context.begin_request();
+        let is_within_limit = context.begin_request();
         let guard = request.conn_data::<http_server::ConnectionGuard>();
         if let Some(guard) = guard {
             guard.record_request();
@@ -62,10 +62,10 @@
         let overloaded = |message| error::ApiError::not_run(error::ErrorCode::Overloaded, message);
         let refusal = if guard.is_some_and(|g| g.is_over) {
             Some(overloaded("the gateway has too many connections"))
-        } else if !fits {
+        } else if !is_within_limit {
             Some(overloaded("the gateway has too many requests at once"))
         } else {
-            head_fault(request, context.settings.callers.limits.head_bytes)
+            head_size_error(request, context.settings.callers.limits.head_bytes)
         };
         Self {
             context: context.clone(),
@@ -73,14 +73,14 @@
         }
     }
 
-    /// Refuses a request that something speaks against.
+    /// Returns the error if the request is refused.
     fn check(&self) -> error::ApiResult<()> {
         self.refusal.clone().map_or(Ok(()), Err)
     }
 }
 
-/// What is wrong with the size of a request's head, if anything.
-fn head_fault(request: &actix_http::Request, limit: usize) -> Option<error::ApiError> {
+/// Returns an error if the request's head is larger than `limit` bytes.
+fn head_size_error(request: &actix_http::Request, limit: usize) -> Option<error::ApiError> {
     let fields = request.head().headers().iter();
     let size: usize = fields
         .map(|(name, value)| name.as_str().len() + value.len())
@@ -96,15 +96,15 @@
     }
 }
 
-/// What the log's line of a request is made from.
-struct RequestLine {
+/// Fields of a request's log line.
+struct RequestLog {
     request_id: String,
     method: Method,
     path: String,
     started: time::Instant,
 }
 
-impl RequestLine {
+impl RequestLog {
     fn new(request: &actix_http::Request, request_id: String) -> Self {
         Self {
             request_id,
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Turns an outcome into the answer, names the request in it, counts it and logs it.
+    /// Converts an outcome to the response, adds the request's identifier, and counts and logs it.
     fn finish(
         self,
         context: &context::GatewayContext,
@@ -155,7 +155,7 @@
     let path = request.path().to_owned();
     match path.as_str() {
         "/healthz" => return Ok(http_server::plain(StatusCode::OK, "ok")),
-        "/readyz" => return Ok(ready(context)),
+        "/readyz" => return Ok(readiness_response(context)),
         "/metrics" => return Ok(http_server::plain(StatusCode::OK, context.metrics.render())),
         _ => {}
     }
@@ -230,8 +230,9 @@
     serde_json::json!({"object": "list", "data": data})
 }
 
-/// Ready: the accepted bundle is in force here, and no stop was begun.
-fn ready(context: &context::GatewayContext) -> http_server::HttpResponse {
+/// Responds to the readiness probe: ready if the accepted bundle is active here and the gateway is
+/// not stopping.
+fn readiness_response(context: &context::GatewayContext) -> http_server::HttpResponse {
     if context.is_stopping() {
         return http_server::plain(StatusCode::SERVICE_UNAVAILABLE, "stopping");
     }
--- a/src/gateway/stream_relay.rs
+++ b/src/gateway/stream_relay.rs
@@ -1,4 +1,4 @@
-//! Relays a stream of events: each index once, over cuts and across endpoints.
+//! Relay of event streams: forwards each event index once, across interruptions and endpoints.
 
 use std::{collections, io, sync, time};
 
@@ -13,43 +13,43 @@
     endpoint_client, error, http_server, ids, outcome, protection, wire,
 };
 
-/// Events that may wait for a slow caller.
-const RING_EVENTS: usize = 32;
-/// How long an engine keeps a stream that was cut.
-const KEEP_AFTER_CUT: time::Duration = time::Duration::from_millis(1000);
+/// Maximum number of events buffered for a slow caller.
+const MAX_BUFFERED_EVENTS: usize = 32;
+/// Time for which an engine keeps an interrupted stream so that it can be resumed.
+const RESUME_WINDOW: time::Duration = time::Duration::from_millis(1000);
 
-/// What the relay hands to the answer.
+/// Output of the relay for the response to the caller.
 enum RelayItem {
-    /// A piece of the body.
+    /// Part of the response body.
     Piece(bytes::Bytes),
-    /// The endpoint answered otherwise: a fault of the request.
+    /// Response of the endpoint that is not a stream, such as an error about the request.
     Whole(endpoint_client::EndpointResponse),
-    /// The final error.
+    /// Error after the last attempt.
     Failed(error::ApiError),
 }
 
-/// How a stretch of events ended.
-enum PumpEnd {
+/// Reason why the relay of one attempt's events ended.
+enum RelayEnd {
     Finished,
-    CallerGone,
-    Late,
-    Cut(String),
+    CallerDisconnected,
+    DeadlinePassed,
+    Interrupted(String),
 }
 
-/// How an attempt takes up the answer.
-enum TakeUp {
-    /// From its first token.
+/// Point at which an attempt starts the response.
+enum AttemptStart {
+    /// At its first token.
     Begin,
-    /// At the same endpoint, after the last event.
+    /// After the last relayed event, by resuming the stream of the given attempt at its endpoint.
     Resume(ids::AttemptId),
-    /// Elsewhere, from the text that was relayed.
+    /// After the relayed text, which is given to another endpoint to continue from.
     Continue,
 }
 
-/// Answers with events once the first one is there.
+/// Serves a request with a stream of events; returns when the first event is available.
 ///
 /// # Errors
-/// The final error, if no event was relayed.
+/// Returns the error for the caller if all attempts failed before the first event.
 pub async fn serve(
     context: &sync::Arc<context::GatewayContext>,
     client: &awc::Client,
@@ -64,14 +64,14 @@
             once::OnceEntry::Send(ticket) => Some(ticket),
         },
     };
-    let (sender, mut receiver) = mpsc::channel(RING_EVENTS);
+    let (sender, mut receiver) = mpsc::channel(MAX_BUFFERED_EVENTS);
     let now = context.clock.now();
     let relay = StreamRelay {
         context: context.clone(),
         client: client.clone(),
         deadline: now + terms.timeout,
         started: now,
-        latest: None,
+        last_event_at: None,
         terms,
         call,
         cursor: relay::RelayCursor::default(),
@@ -86,7 +86,7 @@
         drop(slot);
     });
     match receiver.recv().await {
-        Some(RelayItem::Piece(first)) => Ok(event_answer(first, receiver)),
+        Some(RelayItem::Piece(first)) => Ok(event_response(first, receiver)),
         Some(RelayItem::Whole(response)) => Ok(whole_call::to_http(&response)),
         Some(RelayItem::Failed(e)) => Err(e),
         None => Err(error::ApiError::ran(
@@ -97,7 +97,7 @@
     }
 }
 
-fn event_answer(
+fn event_response(
     first: bytes::Bytes,
     receiver: mpsc::Receiver<RelayItem>,
 ) -> http_server::HttpResponse {
@@ -118,7 +118,7 @@
         .map_into_boxed_body()
 }
 
-/// An error after the first event: the answer is not whole, and says so.
+/// Formats an error after the first event, so that the caller can tell the response is incomplete.
 fn error_event(error: &error::ApiError) -> bytes::Bytes {
     let text = serde_json::to_string(&error.body()).unwrap_or_default();
     format!("event: error\ndata: {text}\n\n").into()
@@ -130,12 +130,12 @@
     terms: caller_request::CallerTerms,
     call: whole_call::WholeCall,
     cursor: relay::RelayCursor,
-    /// Text relayed so far.
+    /// Text that was relayed so far.
     text: String,
     sender: mpsc::Sender<RelayItem>,
     started: clock::MonotonicTime,
     deadline: clock::MonotonicTime,
-    latest: Option<clock::MonotonicTime>,
+    last_event_at: Option<clock::MonotonicTime>,
     failed: collections::HashSet<ids::EndpointId>,
     attempts: u32,
     may_have_run: bool,
@@ -149,7 +149,7 @@
         }
         let Some(ticket) = ticket else { return };
         let outcome = match ended {
-            // A stream is not kept: a resend learns that it ran.
+            // Streams are not stored: a resend gets an error that says the request ran.
             Ok(()) => Err(error::ApiError::ran(
                 error::ErrorCode::OutcomeUnknown,
                 error::RanReport::Yes,
@@ -160,7 +160,10 @@
         once::end(&self.context, *ticket, &outcome).await;
     }
 
-    /// Relays the whole answer, with as many attempts as it takes and is allowed.
+    /// Relays the complete response, with retries as far as they are allowed.
+    ///
+    /// After an interruption, resumes the stream once at the same endpoint, then continues at
+    /// another endpoint.
     async fn relay(&mut self) -> error::ApiResult<()> {
         loop {
             let reservation = self.choose().await?;
@@ -170,31 +173,31 @@
                     self.terms.arrived.elapsed(),
                 );
             }
-            let mut take_up = match self.cursor.last_index() {
-                None => TakeUp::Begin,
-                Some(_) => TakeUp::Continue,
+            let mut attempt_start = match self.cursor.last_index() {
+                None => AttemptStart::Begin,
+                Some(_) => AttemptStart::Continue,
             };
             loop {
                 self.attempts += 1;
-                let (attempt, outcome) = self.attempt(&reservation, &take_up).await;
+                let (attempt, outcome) = self.attempt(&reservation, &attempt_start).await;
                 let reason = match outcome {
-                    Ok(PumpEnd::Finished | PumpEnd::CallerGone) => return Ok(()),
-                    Ok(PumpEnd::Late) => return Err(self.late()),
-                    Ok(PumpEnd::Cut(reason)) => reason,
+                    Ok(RelayEnd::Finished | RelayEnd::CallerDisconnected) => return Ok(()),
+                    Ok(RelayEnd::DeadlinePassed) => return Err(self.deadline_exceeded()),
+                    Ok(RelayEnd::Interrupted(reason)) => reason,
                     Err(ended) => {
-                        self.decide(&reservation, ended)?;
+                        self.check_retry(&reservation, ended)?;
                         break;
                     }
                 };
                 if protection::is_disabled("take_up") {
                     return Ok(());
                 }
-                let resumed = matches!(take_up, TakeUp::Resume(_));
+                let resumed = matches!(attempt_start, AttemptStart::Resume(_));
                 if !resumed && self.cursor.last_index().is_some() {
-                    take_up = TakeUp::Resume(attempt);
+                    attempt_start = AttemptStart::Resume(attempt);
                     continue;
                 }
-                self.decide(&reservation, outcome::AttemptOutcome::Unknown(reason))?;
+                self.check_retry(&reservation, outcome::AttemptOutcome::Unknown(reason))?;
                 break;
             }
         }
@@ -208,16 +211,16 @@
             failed: &self.failed,
         };
         let chosen = route::choose(&self.context, &query).await;
-        chosen.map_err(|e| whole_call::with_history(e, self.may_have_run))
+        chosen.map_err(|e| whole_call::with_earlier_attempts(e, self.may_have_run))
     }
 
-    fn late(&self) -> error::ApiError {
+    fn deadline_exceeded(&self) -> error::ApiError {
         let code = error::ErrorCode::DeadlineExceeded;
         error::ApiError::ran(code, error::RanReport::Yes, "the deadline passed")
     }
 
-    /// Goes on to another endpoint, or gives the final error at once.
-    fn decide(
+    /// Records a failed attempt; returns the error for the caller if it may not be retried.
+    fn check_retry(
         &mut self,
         reservation: &route::EndpointReservation,
         ended: outcome::AttemptOutcome<()>,
@@ -240,24 +243,27 @@
         drop(budget);
         let error = ended
             .into_result()
-            .map_err(|e| whole_call::with_history(e, self.may_have_run));
+            .map_err(|e| whole_call::with_earlier_attempts(e, self.may_have_run));
         match error {
             Err(e) => Err(e),
-            Ok(()) => Err(self.late()),
+            Ok(()) => Err(self.deadline_exceeded()),
         }
     }
 
-    /// One attempt; gives its name for a later resume, and how it ended.
+    /// Makes one attempt; returns its identifier, for a later resume, and its outcome.
     async fn attempt(
         &mut self,
         reservation: &route::EndpointReservation,
-        take_up: &TakeUp,
-    ) -> (ids::AttemptId, Result<PumpEnd, outcome::AttemptOutcome<()>>) {
-        let call = self.endpoint_call(reservation, take_up);
+        attempt_start: &AttemptStart,
+    ) -> (
+        ids::AttemptId,
+        Result<RelayEnd, outcome::AttemptOutcome<()>>,
+    ) {
+        let call = self.endpoint_call(reservation, attempt_start);
         let attempt = call.attempt.clone();
-        let silence = self.silence();
+        let event_timeout = self.event_timeout();
         let opening = endpoint_client::open_stream(&self.client, &call);
-        let opened = match actix_rt::time::timeout(silence, opening).await {
+        let opened = match actix_rt::time::timeout(event_timeout, opening).await {
             Ok(opened) => opened,
             Err(_) => outcome::AttemptOutcome::Unknown("the endpoint was silent".into()),
         };
@@ -265,15 +271,15 @@
         let ended = match opened {
             O::Completed(endpoint_client::OpenedStream::Events(events)) => {
                 self.may_have_run = true;
-                let end = self.pump(reservation, events).await;
-                if matches!(end, PumpEnd::CallerGone) {
+                let end = self.relay_events(reservation, events).await;
+                if matches!(end, RelayEnd::CallerDisconnected) {
                     endpoint_client::cancel_stream(&self.client, call.address, &attempt).await;
                 }
                 Ok(end)
             }
             O::Completed(endpoint_client::OpenedStream::Whole(response)) => {
                 let _ = self.sender.send(RelayItem::Whole(response)).await;
-                Ok(PumpEnd::CallerGone)
+                Ok(RelayEnd::CallerDisconnected)
             }
             O::NotRun(proof) => Err(O::NotRun(proof)),
             O::Failed(reason) => Err(O::Failed(reason)),
@@ -285,18 +291,18 @@
     fn endpoint_call(
         &self,
         reservation: &route::EndpointReservation,
-        take_up: &TakeUp,
+        attempt_start: &AttemptStart,
     ) -> endpoint_client::EndpointCall {
-        let attempt = match take_up {
-            TakeUp::Resume(attempt) => attempt.clone(),
+        let attempt = match attempt_start {
+            AttemptStart::Resume(attempt) => attempt.clone(),
             _ => ids::AttemptId::try_from(ids::unique("att")).expect("unique names are valid"),
         };
-        let resume_after = match take_up {
-            TakeUp::Resume(_) => self.cursor.last_index(),
+        let resume_after = match attempt_start {
+            AttemptStart::Resume(_) => self.cursor.last_index(),
             _ => None,
         };
-        let body = match take_up {
-            TakeUp::Continue => self.body_with_text(),
+        let body = match attempt_start {
+            AttemptStart::Continue => self.body_with_text(),
             _ => self.call.body.clone(),
         };
         endpoint_client::EndpointCall {
@@ -307,7 +313,7 @@
             body,
             attempt,
             resume_after,
-            keep: Some(KEEP_AFTER_CUT),
+            keep: Some(RESUME_WINDOW),
             timeout: self.deadline.since(self.context.clock.now()),
         }
     }
@@ -319,42 +325,44 @@
         }
     }
 
-    /// Longest wait for the next event.
-    fn silence(&self) -> time::Duration {
+    /// Returns the timeout for the next event, which does not exceed the time to the deadline.
+    fn event_timeout(&self) -> time::Duration {
         let silence = self.context.settings.online.stream_silence_ms;
-        let left = self.deadline.since(self.context.clock.now());
-        time::Duration::from_millis(silence).min(left)
+        let remaining = self.deadline.since(self.context.clock.now());
+        time::Duration::from_millis(silence).min(remaining)
     }
 
-    /// Relays events until the answer, the caller or the stream ends.
-    async fn pump(
+    /// Relays events until the response is complete, the caller disconnects or the stream fails.
+    async fn relay_events(
         &mut self,
         reservation: &route::EndpointReservation,
         mut events: endpoint_client::EventStream,
-    ) -> PumpEnd {
+    ) -> RelayEnd {
         loop {
-            let silence = self.silence();
+            let event_timeout = self.event_timeout();
             let next = tokio::select! {
-                next = actix_rt::time::timeout(silence, events.next()) => next,
-                () = self.sender.closed() => return PumpEnd::CallerGone,
+                next = actix_rt::time::timeout(event_timeout, events.next()) => next,
+                () = self.sender.closed() => return RelayEnd::CallerDisconnected,
             };
             let event = match next {
                 Ok(Some(Ok(event))) => event,
-                Ok(Some(Err(reason))) => return PumpEnd::Cut(reason),
-                Ok(None) => return PumpEnd::Cut("the stream ended early".into()),
-                Err(_) if self.deadline <= self.context.clock.now() => return PumpEnd::Late,
-                Err(_) => return PumpEnd::Cut("the endpoint was silent".into()),
+                Ok(Some(Err(reason))) => return RelayEnd::Interrupted(reason),
+                Ok(None) => return RelayEnd::Interrupted("the stream ended early".into()),
+                Err(_) if self.deadline <= self.context.clock.now() => {
+                    return RelayEnd::DeadlinePassed
+                }
+                Err(_) => return RelayEnd::Interrupted("the endpoint was silent".into()),
             };
             match self.cursor.accept(event.index, event.last) {
                 relay::RelayStep::Drop => continue,
-                relay::RelayStep::Gap => return PumpEnd::Cut("events are missing".into()),
+                relay::RelayStep::Gap => return RelayEnd::Interrupted("events are missing".into()),
                 relay::RelayStep::Forward => {}
             }
             self.observe_token();
             self.text.push_str(&event.text);
-            let piece = self.piece(&event);
+            let piece = self.format_event(&event);
             if self.sender.send(RelayItem::Piece(piece)).await.is_err() {
-                return PumpEnd::CallerGone;
+                return RelayEnd::CallerDisconnected;
             }
             if self.cursor.is_finished() {
                 whole_call::record(
@@ -362,15 +370,15 @@
                     reservation,
                     &outcome::AttemptOutcome::Completed(()),
                 );
-                let spent = self.context.clock.now().since(self.started);
-                self.observe(&self.context.metrics.full_response, spent);
-                return PumpEnd::Finished;
+                let elapsed = self.context.clock.now().since(self.started);
+                self.observe(&self.context.metrics.full_response, elapsed);
+                return RelayEnd::Finished;
             }
         }
     }
 
-    /// The event as the caller gets it: under the name of the request.
-    fn piece(&self, event: &endpoint_client::StreamEvent) -> bytes::Bytes {
+    /// Formats an event for the caller, with the request's identifier in place of the engine's.
+    fn format_event(&self, event: &endpoint_client::StreamEvent) -> bytes::Bytes {
         let data = match serde_json::from_str::<serde_json::Value>(&event.data) {
             Ok(mut data) => {
                 data["id"] = self.terms.request_id.as_str().into();
@@ -385,12 +393,12 @@
     fn observe_token(&mut self) {
         let now = self.context.clock.now();
         let metrics = &self.context.metrics;
-        let (histogram, since) = match self.latest {
+        let (histogram, since) = match self.last_event_at {
             None => (&metrics.first_token, self.started),
-            Some(latest) => (&metrics.between_tokens, latest),
+            Some(last_event_at) => (&metrics.between_tokens, last_event_at),
         };
         self.observe(histogram, now.since(since));
-        self.latest = Some(now);
+        self.last_event_at = Some(now);
     }
 
     fn observe(&self, histogram: &prometheus::HistogramVec, duration: time::Duration) {
--- a/src/gateway/whole_call.rs
+++ b/src/gateway/whole_call.rs
@@ -1,4 +1,4 @@
-//! Calls that are answered whole: attempts, retries, records of what may run once.
+//! Requests with a single response: attempts, retries, and records of requests that may run once.
 
 use std::{collections, sync};
 
@@ -7,28 +7,28 @@
     decisions::retry, endpoint_client, error, http_server, ids, outcome, platform, protection,
 };
 
-/// A call as it goes to an endpoint.
+/// Request for an endpoint.
 #[derive(Clone)]
 pub struct WholeCall {
-    /// The model or plain service.
+    /// Model or plain service to reach.
     pub service: ids::ServiceName,
-    /// Engine or plain service.
+    /// Kind of the endpoint.
     pub kind: platform::EndpointKind,
-    /// Affinity of the prompt.
+    /// Affinity key of the prompt.
     pub affinity: u64,
-    /// Method of HTTP.
+    /// HTTP method.
     pub method: actix_http::Method,
     /// Path and query at the endpoint.
     pub path: String,
     /// Content type of the body.
     pub content_type: String,
-    /// The body.
+    /// Body of the request.
     pub body: bytes::Bytes,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub repeatable: bool,
 }
 
-/// The answer of an endpoint as it goes to the caller.
+/// Converts an endpoint's response to the response for the caller.
 pub fn to_http(response: &endpoint_client::EndpointResponse) -> http_server::HttpResponse {
     actix_http::Response::build(response.status)
         .insert_header(("content-type", response.content_type.as_str()))
@@ -36,11 +36,11 @@
         .map_into_boxed_body()
 }
 
-/// Runs a call, and counts its time.
+/// Runs a request and records its response time.
 ///
 /// # Errors
-/// The final error to answer with.
-pub async fn run_once(
+/// Returns the error for the caller if no attempt succeeded.
+pub async fn run_measured(
     context: &sync::Arc<context::GatewayContext>,
     client: &awc::Client,
     terms: &caller_request::CallerTerms,
@@ -59,7 +59,7 @@
     Ok(response)
 }
 
-/// Runs a call; one with a key that may not be repeated is recorded first.
+/// Runs a request. One that may not be repeated and has an idempotency key is recorded first.
 async fn run_recorded(
     context: &sync::Arc<context::GatewayContext>,
     client: &awc::Client,
@@ -74,7 +74,7 @@
     match once::begin(context, terms, key, &path, &call.body).await? {
         once::OnceEntry::Replay(response) => Ok(response),
         once::OnceEntry::Send(ticket) => {
-            // Apart from the caller's connection: the record must be ended even if it goes.
+            // In a task of its own, so that the record is completed even if the caller disconnects.
             let (context, client, terms) = (context.clone(), client.clone(), terms.clone());
             let running = actix_rt::spawn(async move {
                 let outcome = run(&context, &client, &terms, &call).await;
@@ -93,7 +93,7 @@
     }
 }
 
-/// Runs a call with retries.
+/// Runs a request with retries at other endpoints.
 async fn run(
     context: &sync::Arc<context::GatewayContext>,
     client: &awc::Client,
@@ -119,7 +119,7 @@
         };
         let reservation = match route::choose(context, &query).await {
             Ok(reservation) => reservation,
-            Err(e) => return Err(with_history(e, may_have_run)),
+            Err(e) => return Err(with_earlier_attempts(e, may_have_run)),
         };
         if attempts == 1 {
             let workspace = terms.workspace.id.as_str();
@@ -138,21 +138,21 @@
             may_have_run = true;
         }
         let now = context.clock.now();
-        let again = {
+        let should_retry = {
             let mut budget = context.retries();
             retry::may_retry(&outcome, attempts, &retry_terms, &mut budget, now)
         };
-        if !again {
+        if !should_retry {
             return outcome
                 .into_result()
-                .map_err(|e| with_history(e, may_have_run));
+                .map_err(|e| with_earlier_attempts(e, may_have_run));
         }
         failed.insert(reservation.endpoint.id.clone());
     }
 }
 
-/// An error of the last attempt must not hide that an earlier one may have run.
-pub fn with_history(mut error: error::ApiError, may_have_run: bool) -> error::ApiError {
+/// Marks an error as `Unknown` instead of not run if an earlier attempt may have run.
+pub fn with_earlier_attempts(mut error: error::ApiError, may_have_run: bool) -> error::ApiError {
     if may_have_run && error.ran == error::RanReport::No {
         error.ran = error::RanReport::Unknown;
     }
@@ -183,7 +183,7 @@
     endpoint_client::call_whole(client, &endpoint_call).await
 }
 
-/// Notes an attempt's end in health, retry budget and metrics.
+/// Records the outcome of an attempt in the endpoint's health, the retry budget and the metrics.
 pub fn record<T>(
     context: &context::GatewayContext,
     reservation: &route::EndpointReservation,
