--- a/src/gateway/batches.rs
+++ b/src/gateway/batches.rs
@@ -347,8 +347,8 @@
 /// Requests the cancellation of a job; has no effect on a job that has ended.
 ///
 /// # Errors
-/// Returns `NotFound` if there is no such job, and `StoreUnavailable` if the object service cannot be
-/// reached.
+/// Returns `NotFound` if there is no such job, and `StoreUnavailable` if the object service cannot
+/// be reached.
 pub async fn cancel(
     context: &context::GatewayContext,
     workspace: &ids::WorkspaceId,
--- a/tests/online_failures.rs
+++ b/tests/online_failures.rs
@@ -1,4 +1,5 @@
-//! Online requests under failure: whole answers, true refusals, once where once is asked.
+//! Online requests under failures: complete responses, correct refusals, and a single run of
+//! requests that may not be repeated.
 
 mod support;
 
@@ -11,7 +12,7 @@
 use jayhollow::smoke;
 use rstest::rstest;
 
-fn small(engines: usize) -> support::FleetSize {
+fn small_fleet(engines: usize) -> support::FleetSize {
     support::FleetSize {
         engines,
         step_us: 8_000,
@@ -19,7 +20,7 @@
     }
 }
 
-/// Streams through both gateways at once and checks each to the letter.
+/// Runs concurrent streams through all gateways and checks that each response is exact.
 fn check_streams(fleet: &support::ProcessFleet, count: usize, tokens: u32) {
     thread::scope(|scope| {
         for number in 0..count {
@@ -28,7 +29,7 @@
                 let content = format!("stream {number}");
                 let (text, whole) = caller.stream(&content, tokens).expect("it is streamed");
                 assert_eq!(text, smoke::expected_response(&content, tokens));
-                assert!(whole, "the answer says that it is whole");
+                assert!(whole, "the response is marked as complete");
             });
         }
     });
@@ -36,7 +37,7 @@
 
 #[test]
 fn cut_streams_are_resumed_with_each_letter_once() {
-    let fleet = support::ProcessFleet::start(&small(2));
+    let fleet = support::ProcessFleet::start(&small_fleet(2));
     for engine in 0..2 {
         fleet.engine_faults(engine, serde_json::json!({"cut_after_tokens": 7}));
     }
@@ -47,7 +48,7 @@
 #[case::killed(libc::SIGKILL)]
 #[case::frozen(libc::SIGSTOP)]
 fn streams_of_a_lost_engine_go_on_elsewhere(#[case] signal: libc::c_int) {
-    let fleet = support::ProcessFleet::start(&small(3));
+    let fleet = support::ProcessFleet::start(&small_fleet(3));
     let begun = Arc::new(atomic::AtomicBool::new(false));
     thread::scope(|scope| {
         let seen = begun.clone();
@@ -56,7 +57,7 @@
             while !seen.load(atomic::Ordering::Relaxed) {
                 thread::sleep(time::Duration::from_millis(5));
             }
-            // The streams of 60 tokens at 8 ms are under way.
+            // Streams of 60 tokens at 8 ms each take 480 ms, so they are in flight after 200 ms.
             thread::sleep(time::Duration::from_millis(200));
             engine.signal(signal);
         });
@@ -67,7 +68,7 @@
 
 #[test]
 fn a_cut_that_cannot_be_mended_is_never_passed_as_whole() {
-    let fleet = support::ProcessFleet::start(&small(1));
+    let fleet = support::ProcessFleet::start(&small_fleet(1));
     fleet.engine_faults(
         0,
         serde_json::json!({"poison": "doomed", "poison_after_tokens": 3}),
@@ -80,7 +81,7 @@
 
 #[test]
 fn crossed_answers_are_discarded() {
-    let fleet = support::ProcessFleet::start(&small(2));
+    let fleet = support::ProcessFleet::start(&small_fleet(2));
     fleet.engine_faults(0, serde_json::json!({"cross": true}));
     check_streams(&fleet, 12, 5);
     for number in 0..12 {
@@ -96,7 +97,7 @@
 
 #[test]
 fn a_refused_call_says_so_and_when_to_come_back() {
-    let fleet = support::ProcessFleet::start(&small(1));
+    let fleet = support::ProcessFleet::start(&small_fleet(1));
     support::set_faults(&fleet.plain, serde_json::json!({"refuse": true}));
     let started = time::Instant::now();
     let response = fleet
@@ -108,14 +109,14 @@
         (503, Some("no"))
     );
     assert!(response.retry_after.is_some());
-    // The default deadline is two minutes: the final answer does not wait for it.
+    // The response must not wait for the default deadline of two minutes.
     assert!(started.elapsed() < support::TIMEOUT);
     assert!(fleet.plain_effects().is_empty());
 }
 
 #[test]
 fn a_call_that_may_not_be_repeated_runs_once_over_resends() {
-    let fleet = support::ProcessFleet::start(&small(1));
+    let fleet = support::ProcessFleet::start(&small_fleet(1));
     support::set_faults(&fleet.plain, serde_json::json!({"delay_ms": 300}));
     let headers = [("idempotency-key", "label-1")];
     let call = |gateway: usize, body: &str| {
@@ -135,7 +136,7 @@
             .collect()
     });
     let ok = responses.iter().filter(|a| a.status == 200).count();
-    assert_eq!(ok, 1, "one runs, the others learn that it is under way");
+    assert_eq!(ok, 1, "one runs, the others get in_progress");
     assert!(responses
         .iter()
         .all(|a| a.status == 200 || a.json()["error"]["code"] == "in_progress"));
@@ -151,7 +152,7 @@
 
 #[test]
 fn a_call_that_cannot_be_recorded_is_not_sent() {
-    let fleet = support::ProcessFleet::start(&small(1));
+    let fleet = support::ProcessFleet::start(&small_fleet(1));
     fleet.object_faults(serde_json::json!({"out": true}));
     let headers = [("idempotency-key", "k"), ("x-deadline-ms", "1500")];
     let response = fleet.caller(0).send(
@@ -170,7 +171,7 @@
 
 #[test]
 fn recorded_calls_run_over_lost_answers_of_the_object_service() {
-    let fleet = support::ProcessFleet::start(&small(1));
+    let fleet = support::ProcessFleet::start(&small_fleet(1));
     fleet.object_faults(serde_json::json!({"lost_answers": 50}));
     for number in 0..12 {
         let key = format!("label-{number}");
@@ -189,7 +190,7 @@
 
 #[test]
 fn a_lost_gateway_leaves_the_outcome_unknown_and_the_call_once() {
-    let mut fleet = support::ProcessFleet::start(&small(1));
+    let mut fleet = support::ProcessFleet::start(&small_fleet(1));
     support::set_faults(&fleet.plain, serde_json::json!({"delay_ms": 500}));
     let headers = [("idempotency-key", "lost"), ("x-deadline-ms", "1000")];
     let first = fleet.caller(0);
@@ -231,7 +232,7 @@
 
 #[test]
 fn planned_stops_cut_no_request() {
-    let mut fleet = support::ProcessFleet::start(&small(2));
+    let mut fleet = support::ProcessFleet::start(&small_fleet(2));
     let stopping = fleet.gateways[0].address("callers");
     let streams: Vec<_> = (0..8)
         .map(|number| {
@@ -264,14 +265,14 @@
 
 #[test]
 fn an_operator_stops_an_instance() {
-    let mut fleet = support::ProcessFleet::start(&small(1));
+    let mut fleet = support::ProcessFleet::start(&small_fleet(1));
     let path = "/operator/v1/instances/gateway-0/stop";
     fleet
         .operator(1)
         .post(path, Vec::new())
-        .expect("the stop is asked for");
+        .expect("the stop is requested");
     assert!(fleet.gateways[0].wait_end());
-    // The stop was for that process, not for the next one of the name.
+    // The stop request was for the previous process and must not stop its successor.
     fleet.gateways[0].restart();
     fleet.wait_ready();
     thread::sleep(time::Duration::from_millis(2500));
@@ -280,10 +281,10 @@
 
 #[test]
 fn a_leaving_endpoint_gets_no_new_work() {
-    let fleet = support::ProcessFleet::start(&small(2));
+    let fleet = support::ProcessFleet::start(&small_fleet(2));
     let starts = || {
         let client = support::TestClient::new(fleet.engines[0].address("listen"), "");
-        client.get("/effects").expect("starts are told")["starts"]
+        client.get("/effects").expect("the starts are reported")["starts"]
             .as_u64()
             .unwrap_or(0)
     };
@@ -295,7 +296,7 @@
     let list = support::body(&serde_json::json!(endpoints));
     let set = objects.send(Method::POST, "/endpoints", &[], list);
     assert_eq!(set.expect("the list is set").status, 200);
-    // The list is read every 50 ms here.
+    // The fleet of the test reads the list of endpoints every 50 ms.
     thread::sleep(time::Duration::from_millis(500));
     let before = starts();
     check_streams(&fleet, 24, 3);
@@ -304,7 +305,7 @@
 
 #[test]
 fn gateways_go_ahead_without_an_owner() {
-    let mut fleet = support::ProcessFleet::start(&small(2));
+    let mut fleet = support::ProcessFleet::start(&small_fleet(2));
     for dispatcher in &mut fleet.dispatchers {
         dispatcher.kill();
     }
@@ -314,7 +315,7 @@
 #[test]
 fn a_stranger_on_the_link_is_dropped_and_counted() {
     use std::io::{Read as _, Write as _};
-    let fleet = support::ProcessFleet::start(&small(1));
+    let fleet = support::ProcessFleet::start(&small_fleet(1));
     let link = fleet.dispatchers[0].address("link");
     let mut socket = std::net::TcpStream::connect(link).expect("it connects");
     socket
@@ -322,7 +323,7 @@
         .expect("the timeout is set");
     let mut nonce = [0; 16];
     socket.read_exact(&mut nonce).expect("a nonce comes");
-    socket.write_all(&[7; 32]).expect("a false proof goes");
+    socket.write_all(&[7; 32]).expect("a wrong proof is sent");
     let mut rest = Vec::new();
     assert_eq!(
         socket.read_to_end(&mut rest).unwrap_or(0),
@@ -339,7 +340,7 @@
 
 #[test]
 fn gateways_are_replaced_one_after_another_under_load() {
-    let mut fleet = support::ProcessFleet::start(&small(3));
+    let mut fleet = support::ProcessFleet::start(&small_fleet(3));
     let addresses: Vec<_> = fleet
         .gateways
         .iter()
@@ -353,7 +354,7 @@
             thread::spawn(move || {
                 let mut served = 0;
                 while !done.load(atomic::Ordering::Relaxed) {
-                    // As a balancer does: only gateways that are ready.
+                    // Uses only ready gateways, as a load balancer does.
                     let all = current.lock().expect("the list is whole").clone();
                     let ready = all.into_iter().find(|address| {
                         let client = support::TestClient::new(*address, support::KEY);
--- a/tests/tls.rs
+++ b/tests/tls.rs
@@ -1,4 +1,4 @@
-//! TLS towards callers: served by settings, the key reloaded without a restart.
+//! TLS for callers: enabled by settings; a replaced key is reloaded without a restart.
 
 mod support;
 
@@ -11,17 +11,18 @@
 
 use rustls::pki_types;
 
-/// Writes a new self-signed certificate and its key; gives the certificate.
-fn write_key(folder: &path::Path) -> pki_types::CertificateDer<'static> {
+/// Writes a new self-signed certificate and its key, and returns the certificate.
+fn write_certificate(folder: &path::Path) -> pki_types::CertificateDer<'static> {
     let names = vec!["localhost".to_owned()];
-    let made = rcgen::generate_simple_self_signed(names).expect("a key is made");
-    fs::write(folder.join("cert.pem"), made.cert.pem()).expect("it is written");
-    fs::write(folder.join("key.pem"), made.key_pair.serialize_pem()).expect("it is written");
-    made.cert.der().clone()
+    let generated = rcgen::generate_simple_self_signed(names).expect("the key pair is generated");
+    fs::write(folder.join("cert.pem"), generated.cert.pem()).expect("the file is written");
+    fs::write(folder.join("key.pem"), generated.key_pair.serialize_pem())
+        .expect("the file is written");
+    generated.cert.der().clone()
 }
 
-/// Asks for `/healthz`, trusting one certificate only.
-fn ask(
+/// Requests `/healthz` with a client that trusts only the given certificate.
+fn get_healthz(
     address: net::SocketAddr,
     trusted: &pki_types::CertificateDer<'static>,
 ) -> io::Result<String> {
@@ -34,7 +35,8 @@
         .with_root_certificates(roots)
         .with_no_client_auth();
     let name = pki_types::ServerName::try_from("localhost").expect("the name is valid");
-    let client = rustls::ClientConnection::new(Arc::new(config), name).expect("it begins");
+    let client =
+        rustls::ClientConnection::new(Arc::new(config), name).expect("the TLS client is created");
     let socket = net::TcpStream::connect(address)?;
     socket.set_read_timeout(Some(support::TIMEOUT))?;
     let mut stream = rustls::StreamOwned::new(client, socket);
@@ -52,7 +54,7 @@
         engines: 1,
         ..support::FleetSize::default()
     });
-    let first = write_key(&fleet.folder);
+    let first = write_certificate(&fleet.folder);
     let folder = fleet.folder.clone();
     let gateway = fleet.start_gateway_with(7, |config| {
         config["callers"]["tls"] = serde_json::json!({
@@ -60,16 +62,16 @@
         });
     });
     let address = gateway.address("callers");
-    assert!(ask(address, &first)
-        .expect("it is trusted")
+    assert!(get_healthz(address, &first)
+        .expect("the certificate is trusted")
         .starts_with("HTTP/1.1 200"));
-    let second = write_key(&fleet.folder);
+    let second = write_certificate(&fleet.folder);
     support::wait_for("the new key is served", || {
-        let response = ask(address, &second).ok()?;
+        let response = get_healthz(address, &second).ok()?;
         response.starts_with("HTTP/1.1 200").then_some(())
     });
     assert!(
-        ask(address, &first).is_err(),
+        get_healthz(address, &first).is_err(),
         "the old certificate is no longer served"
     );
 }
--- a/tests/whole_path.rs
+++ b/tests/whole_path.rs
@@ -1,4 +1,5 @@
-//! The whole path over separate processes: whole, streamed, plain, batch.
+//! Requests of every kind through a fleet of separate processes: generation with a single response
+//! or a stream, plain services and batch jobs.
 
 mod support;
 
@@ -48,7 +49,7 @@
     };
     let fleet = support::ProcessFleet::start(&size);
     let caller = fleet.caller(0);
-    let stranger = support::TestClient::new(fleet.gateways[0].address("callers"), "wrong");
+    let unknown_caller = support::TestClient::new(fleet.gateways[0].address("callers"), "wrong");
     let post = |client: &support::TestClient, path: &str, body: &[u8]| {
         let response = client
             .send(Method::POST, path, &[], body.to_vec())
@@ -81,7 +82,10 @@
             "{path}"
         );
         assert_eq!(error["ran"], "no");
-        assert_eq!(post(&stranger, path, body).1["code"], "invalid_api_key");
+        assert_eq!(
+            post(&unknown_caller, path, body).1["code"],
+            "invalid_api_key"
+        );
     }
     let deep = "[".repeat(100_000);
     assert_eq!(post(&caller, "/v1/completions", deep.as_bytes()).0, 400);
@@ -121,7 +125,7 @@
         other.get("/v1/batches").expect("it is listed")["data"],
         serde_json::json!([])
     );
-    // The same key in another workspace is another job.
+    // The same idempotency key in another workspace identifies another job.
     let theirs = other.upload(&support::letters(5, 2));
     let theirs = other
         .submit(&theirs, "/v1/chat/completions", "own")
@@ -165,8 +169,8 @@
     }
 }
 
-/// Sends bytes on a connection of their own and reads all that comes back.
-fn raw(address: std::net::SocketAddr, parts: &[&[u8]], pause: std::time::Duration) -> String {
+/// Sends bytes on a new connection, with a pause after each part, and reads the response.
+fn send_raw(address: std::net::SocketAddr, parts: &[&[u8]], pause: std::time::Duration) -> String {
     use std::io::{Read as _, Write as _};
     let mut socket = std::net::TcpStream::connect(address).expect("it connects");
     socket
@@ -180,7 +184,7 @@
     let mut piece = [0; 4096];
     while let Ok(count) = socket.read(&mut piece) {
         response.extend_from_slice(&piece[..count]);
-        // An error's JSON ends with two braces.
+        // The connection may stay open after an error, whose JSON ends with two braces.
         if count == 0 || response.ends_with(b"}}") {
             break;
         }
@@ -208,19 +212,19 @@
         "GET /v1/models HTTP/1.1\r\n{key}x-large: {}\r\n\r\n",
         "y".repeat(40_000)
     );
-    let response = raw(address, &[large.as_bytes()], none);
+    let response = send_raw(address, &[large.as_bytes()], none);
     assert!(
         response.starts_with("HTTP/1.1 413") && response.contains("too_large"),
         "{response}"
     );
     let slow = format!("POST /v1/completions HTTP/1.1\r\n{key}content-length: 100\r\n\r\n{{");
-    let response = raw(address, &[slow.as_bytes()], none);
+    let response = send_raw(address, &[slow.as_bytes()], none);
     assert!(
         response.starts_with("HTTP/1.1 408") && response.contains("request_timeout"),
         "{response}"
     );
     let pause = std::time::Duration::from_millis(2500);
-    let response = raw(
+    let response = send_raw(
         address,
         &[b"GET /v1/models HTTP/1.1\r\nhost:", b" x\r\n"],
         pause,
@@ -230,15 +234,14 @@
     let caller = fleet.caller(2);
     let upload = std::panic::catch_unwind(|| caller.upload(&long));
     assert!(upload.is_err(), "a long line is refused");
-    // An answer that is no refusal must not keep its reader waiting.
+    // `connection: close`, so that reading a successful response does not wait for the timeout.
     let request = format!("GET /v1/models HTTP/1.1\r\n{key}connection: close\r\n\r\n");
     support::wait_for("a further connection is refused", || {
-        // A connection without a head is closed after the head's timeout, so
-        // each look opens as many as are allowed anew. They are counted once
-        // the gateway has taken them.
+        // A connection without a request head is closed after the head timeout, so each try opens
+        // the maximum number of connections again. They count once the gateway has accepted them.
         let connect = || std::net::TcpStream::connect(address).expect("it connects");
         let open: Vec<_> = std::iter::repeat_with(connect).take(6).collect();
-        let response = raw(address, &[request.as_bytes()], none);
+        let response = send_raw(address, &[request.as_bytes()], none);
         drop(open);
         (response.starts_with("HTTP/1.1 503") && response.contains("too many connections"))
             .then_some(())
